--- a/src/requests/dispatch.rs
+++ b/src/requests/dispatch.rs
@@ -1,23 +1,23 @@
 use super::{urgency::part, *};
 
-/// Decides the way of one request: which boxes are tried, whether it waits there, whether a second try
-/// runs beside the first, whether a failure is tried again, and when it is given up.
+/// Decides for one request which boxes are tried, whether it queues there, when it is hedged or
+/// retried, and when it is refused.
 ///
-/// A state machine without I/O: each event leads to one step, which the proxy carries out.
+/// A state machine without I/O: each event returns one step, which the proxy carries out.
 #[derive(Debug)]
 pub struct Dispatch {
-  /// Tries that ended, in order.
+  /// Finished tries, in order.
   ended: Vec<EndedTry>,
-  /// Boxes so far at which the request could not even wait.
+  /// Boxes so far whose queue had no room for the request.
   full: usize,
-  /// When a second try may start beside the first.
+  /// When a hedged try may start.
   hedge_at: Option<Time>,
-  /// An answer that tells of a failure. The caller gets it where nobody else answers.
+  /// A failure that a backend server answered, returned to the caller if no other try is answered.
   kept: Option<TryId>,
   last_id: u64,
-  /// Tries that never arrived.
+  /// Tries that never reached their box.
   lost: usize,
-  /// Tries under way: two at most.
+  /// Tries in flight, two at most.
   running: Vec<RunningTry>,
   terms: Terms,
 }
@@ -30,9 +30,9 @@
 
 #[derive(Debug)]
 struct RunningTry {
-  /// When its box is asked for it; nothing where no connection leads there.
+  /// When its box is asked whether it arrived; `None` for the daemon's own box.
   ask_at: Option<Time>,
-  /// Milliseconds until it is asked again.
+  /// Milliseconds until it is asked again, doubled with each question.
   ask_pause_ms: u64,
   box_id: BoxId,
   id: TryId,
@@ -40,43 +40,43 @@
 }
 
 impl Dispatch {
-  /// Milliseconds that a try takes at least before its box is asked for it: several round trips.
+  /// Shortest time in milliseconds after which the box of a try is asked whether it arrived:
+  /// several round trips.
   const ASK_MIN_MS: u64 = 50;
-  /// The part of the time until an answer is due after which the box of a try is asked for it at the latest.
+  /// The fraction of the time until an answer is due after which the box of a try is asked at the
+  /// latest.
   const ASK_PART: f64 = 0.75;
-  /// How many usual times of its backend server a try takes before its box is asked for it. On an
-  /// overloaded day of 61 boxes 27,064 questions came to 232,826 runs; at two times, on a calm one of 13, one try
-  /// in eight was asked for.
+  /// The multiple of its backend server's usual service time after which the box of a try is asked.
+  /// At 3, 61 overloaded boxes sent 27,064 questions for 232,826 runs; at 2, 13 lightly loaded
+  /// boxes sent one for every eighth try.
   const ASK_TIMES: u64 = 3;
-  /// Boxes that are asked whether they can run a request at once, before it waits for a slot of one of
-  /// them. With half of the boxes full, fifteen of sixteen requests find a free slot by then.
+  /// Boxes that are asked to run a request at once before it queues at one. With half of the boxes
+  /// full, 15 of 16 requests find a free slot by then.
   const ASKED_MAX: usize = 4;
-  /// Boxes at which a request may not wait, for too many do already, before it is refused: the next one
-  /// is likely to be as full.
+  /// Full queues after which a request is refused: the next box is likely to be full too.
   const FULL_MAX: usize = 4;
-  /// The part of the time until the answer is due that a new connection may take. Where nobody listens,
-  /// a box that left without a word or is cut off, the request still goes elsewhere in time.
+  /// The fraction of the time until the answer is due that a new connection may take, so that a
+  /// request to a box that crashed or is partitioned can still go elsewhere in time.
   const CONNECT_PART: f64 = 0.25;
-  /// Milliseconds that a new connection may take at least: many round trips between regions.
+  /// Shortest connect timeout in milliseconds: many round trips between regions.
   const CONNECT_MIN_MS: u64 = 50;
-  /// Milliseconds that a new connection may take at most: by then its first packet was lost.
+  /// Longest connect timeout in milliseconds: by then the first packet was lost.
   const CONNECT_MAX_MS: u64 = 1_000;
-  /// The part of the time until its answer is due for which a try goes on alone. A request that takes
-  /// long takes long anywhere, so a second try before that gains nothing (measured); after that the
-  /// answer is likely lost.
+  /// The multiple of the time until its answer is due after which a try is hedged. A slow request
+  /// is slow on any box, so an earlier hedge gains nothing; after that the answer is likely lost.
   const HEDGE_PART: f64 = 1.2;
-  /// Milliseconds after which a caller comes back where no backend server is there.
+  /// `Retry-After` in milliseconds when there is no backend server.
   const NO_BACKEND_RETRY_MS: u64 = 1_000;
-  /// The part of its remaining time after which a caller comes back to a service that is full. Callers
-  /// wait a third of it at most.
+  /// The fraction of its remaining time after which a caller retries a full service. Callers wait a
+  /// third of that time at most.
   const RETURN_PART: f64 = 0.33;
-  /// By what the time until a caller's return is multiplied, at random.
+  /// Random factor on the time until a caller retries.
   const RETURN_SPREAD: std::ops::Range<f64> = 0.8..1.2;
-  /// Boxes that are tried for one request, those included that pass it to no backend server. A bound
-  /// on the work that a full service can cause.
+  /// Tries for one request, including those that reach no backend server. Bounds the work that a
+  /// full service causes.
   const TRIES_MAX: usize = 7;
 
-  /// A request that has not set out yet.
+  /// Creates the state of a request of which no try has started.
   pub fn new(terms: Terms) -> Self {
     Self {
       ended: Vec::new(),
@@ -90,13 +90,13 @@
     }
   }
 
-  /// When the decision wants to be woken, if nothing else happens before.
+  /// Returns when to send [`DispatchEvent::Woken`], if no other event comes before.
   pub fn wake_at(&self) -> Option<Time> {
     let hedge_at = self.hedge_at.filter(|_| !self.running.is_empty());
     self.running.iter().filter_map(|one| one.ask_at).chain(hedge_at).min()
   }
 
-  /// Takes an event and says what to do.
+  /// Processes an event and returns the next step.
   pub fn handle(&mut self, event: DispatchEvent, around: &mut Surroundings) -> DispatchStep {
     match event {
       DispatchEvent::Started => {
@@ -126,7 +126,7 @@
     if self.hedge_at.is_some_and(|at| now >= at) { self.hedge(around) } else { DispatchStep::Wait }
   }
 
-  /// A try was lost with the connection that it was sent on. Its box is as good as before.
+  /// Handles a try that was lost with its connection. The loss doesn't count against the box.
   fn never_arrived(
     &mut self,
     id: TryId,
@@ -141,7 +141,7 @@
     if !self.running.is_empty() {
       return DispatchStep::Wait;
     }
-    let outcome = AttemptOutcome::not_run("the connection to its box was dead", 0);
+    let outcome = AttemptOutcome::not_run("the connection to the box was lost", 0);
     if self.is_last(&outcome, body_left, around.now) || !self.may_retry(&outcome, around) {
       return self.give_up(outcome, around);
     }
@@ -184,7 +184,7 @@
     step
   }
 
-  /// Whether no further try follows, however the last one ended.
+  /// Whether a limit on tries or time rules out another try, whatever the last outcome was.
   fn is_last(&self, outcome: &AttemptOutcome, body_left: bool, now: Time) -> bool {
     let is_late = outcome.is_declined() && now >= self.terms.urgency.patience;
     self.arrived() >= self.terms.attempts_max as usize
@@ -194,13 +194,13 @@
       || !body_left
   }
 
-  /// Tries that ended and reached a backend server, or may have.
+  /// Counts the finished tries that reached a backend server or may have.
   fn arrived(&self) -> usize {
     self.ended.iter().filter(|one| one.outcome.arrived()).count()
   }
 
-  /// A try may be followed by another one where the request did not run, or may run again; within the
-  /// service's budget and the deadline.
+  /// Whether the request may be tried again: it did not run or is repeatable, the deadline has not
+  /// passed, and the service's retry budget allows it (which this call spends).
   fn may_retry(&self, outcome: &AttemptOutcome, around: &mut Surroundings) -> bool {
     let failed = StatusCode::INTERNAL_SERVER_ERROR.as_u16();
     let safe = match outcome {
@@ -210,11 +210,11 @@
     };
     safe
       && around.now < self.terms.deadline
-      // Where no backend server saw the request, the next try is the first one.
+      // A try that reached no backend server costs no retry budget.
       && (!outcome.arrived() || around.budget.spend(&self.terms.service))
   }
 
-  /// There is no further try: what a backend server said of its failure is the answer, where one did.
+  /// Ends the request with a backend server's failure answer if there is one, else with a refusal.
   fn give_up(&self, outcome: AttemptOutcome, around: &mut Surroundings) -> DispatchStep {
     if let Some(id) = self.kept {
       return DispatchStep::Answer { id };
@@ -222,9 +222,9 @@
     DispatchStep::Refuse(self.put_off(outcome, around))
   }
 
-  /// Where the service is full, the caller comes back after a good part of its time. At once it would
-  /// meet the same requests again, and take a slot from one that can still be in time; and callers that
-  /// are refused together do not return together.
+  /// Raises the retry time of a caller whose service is full. An immediate retry would meet the
+  /// same load and take a slot from a request that can still be in time. The random factor keeps
+  /// callers that were refused together from retrying together.
   fn put_off(&self, outcome: AttemptOutcome, around: &mut Surroundings) -> AttemptOutcome {
     let AttemptOutcome::NotRun { arrived, declined: true, reason, retry_after_ms } = outcome else {
       return outcome;
@@ -235,8 +235,8 @@
     AttemptOutcome::NotRun { arrived, declined: true, reason, retry_after_ms }
   }
 
-  /// The next box: first some that may have room are asked whether they can run the request at once,
-  /// then it waits at one of those that declined, or at another one.
+  /// Starts the next try: first at boxes that may run the request at once, then in the queue of one
+  /// of those that declined or of another box.
   fn try_next(&mut self, around: &mut Surroundings) -> DispatchStep {
     let (insists, choice) = self.choose_next(around);
     let Choice { chosen: Some(endpoint), .. } = &choice else {
@@ -257,7 +257,7 @@
         return (false, choice);
       }
     }
-    // A box that declined to let a request wait is not asked a third time.
+    // A box that declined both to run and to queue the request is not asked a third time.
     let refused = |one: &&EndedTry| {
       let same = self.ended.iter().filter(|other| other.box_id == one.box_id);
       !one.outcome.is_declined() || same.count() > 1
@@ -266,8 +266,8 @@
     (true, self.choose_but(&tried, around))
   }
 
-  /// Chooses among all boxes but some. A request of the new version's share goes to the version in force where
-  /// nobody of the new one can run it at once: the share is there to learn, not to make callers wait.
+  /// Chooses among the boxes not yet tried. A canary request goes to the version in force if no box
+  /// of the new version can run it at once, so that a canary doesn't delay callers.
   fn choose_but(&self, tried: &[&BoxId], around: &mut Surroundings) -> Choice {
     let main_lane = around.traffic.main_lane();
     let is_first = self.ended.is_empty() && self.running.is_empty() && self.lost == 0;
@@ -329,8 +329,8 @@
     DispatchStep::Try(Box::new(TryOrder { connect_ms, endpoint, id, insists, verdicts }))
   }
 
-  /// Milliseconds after which the box of a try is asked for it: longer than most take, for one that waits
-  /// says little by that.
+  /// Milliseconds after which the box of a try is asked whether it arrived. A try that may queue is
+  /// asked as late as possible, for a long wait is normal there.
   fn ask_pause_ms(&self, box_id: &BoxId, insists: bool, around: &Surroundings) -> u64 {
     let due_ms = self.terms.urgency.due.since_ms(around.now);
     let deadline_ms = self.terms.deadline.since_ms(around.now);
@@ -354,7 +354,7 @@
     AttemptOutcome::not_run(reason, Self::NO_BACKEND_RETRY_MS)
   }
 
-  /// Until when the try that starts now goes on alone; nothing where no second one may follow.
+  /// When the try that starts now may be hedged; `None` if it must not be.
   fn first_hedge(&self, around: &Surroundings) -> Option<Time> {
     let may_run_twice = self.terms.repeatable && self.terms.attempts_max > 1;
     if !may_run_twice || !around.budget.has_spare(&self.terms.service) {
@@ -365,8 +365,8 @@
     (patience_ms > 0).then(|| around.now.after(patience_ms))
   }
 
-  /// The answer of the only try may be lost: a second one starts beside it, and the first answer wins. To give the
-  /// first one up would cut it where it only waits in front of a full link.
+  /// Hedges a try whose answer may be lost. The first try goes on, for its answer may only be
+  /// queued in front of a full link.
   fn overdue(&mut self, around: &mut Surroundings) -> DispatchStep {
     let may_run_twice = self.terms.repeatable && self.terms.attempts_max > 1;
     if !may_run_twice || around.now >= self.terms.deadline {
@@ -382,8 +382,7 @@
     self.start(endpoint, true, choice, around)
   }
 
-  /// The first try takes long: a second one starts at another box, where that one has room. The first
-  /// answer wins.
+  /// Hedges a slow try at another box with free capacity. The first answer wins.
   fn hedge(&mut self, around: &mut Surroundings) -> DispatchStep {
     self.hedge_at = None;
     let Some((endpoint, choice)) = self.choose_beside(around) else {
@@ -396,7 +395,7 @@
     self.start(endpoint, true, choice, around)
   }
 
-  /// The box for a second try beside the only one, where the request may be sent to one more.
+  /// Chooses the box of a hedged try, if one try is in flight and the limits allow another.
   fn choose_beside(&self, around: &mut Surroundings) -> Option<(Endpoint, Choice)> {
     let [first] = &self.running[..] else {
       return None;
--- a/src/requests/dispatch_event.rs
+++ b/src/requests/dispatch_event.rs
@@ -1,37 +1,37 @@
 use super::*;
 
-/// What happens to a request that is under way.
+/// An event in the life of one request.
 #[derive(Clone, Debug)]
 pub enum DispatchEvent {
-  /// A try ended, by the head of an answer or without one.
+  /// A try ended, with the head of an answer or without one.
   Ended {
-    /// Whether the request's body can be sent once more.
+    /// Whether the request's body can be sent again.
     body_left: bool,
     /// The try.
     id: TryId,
     /// How it ended.
     outcome: AttemptOutcome,
   },
-  /// A try never arrived at its box, and never will: it was sent on a connection that is dead.
+  /// A try did not and will not reach its box: its connection was dead.
   NeverArrived {
-    /// Whether the request's body can be sent once more.
+    /// Whether the request's body can be sent again.
     body_left: bool,
     /// The try.
     id: TryId,
   },
-  /// The box of a try gave its answer a while ago, and it is not here: it waits in front of a full link, or it is
-  /// lost.
+  /// The box of a try sent its answer a while ago, but it has not come: it is queued in front of a
+  /// full link, or lost.
   Overdue {
     /// The try.
     id: TryId,
   },
   /// The request arrived.
   Started,
-  /// A box that was asked for a try still works on it, or cannot be asked.
+  /// The box of a try still works on it, or could not be asked.
   StillOut {
     /// The try.
     id: TryId,
   },
-  /// The moment came that the decision asked to be woken at.
+  /// The time of [`Dispatch::wake_at`] has come.
   Woken,
 }
--- a/src/requests/dispatch_step.rs
+++ b/src/requests/dispatch_step.rs
@@ -1,37 +1,37 @@
 use super::*;
 
-/// What is to be done for a request.
+/// The next action of the proxy for a request.
 #[derive(Clone, Debug)]
 pub enum DispatchStep {
-  /// Give the caller the answer of a try. Tries that still run are given up.
+  /// Return the answer of this try to the caller and cancel the other tries.
   Answer {
     /// The try.
     id: TryId,
   },
-  /// Ask the box of a try, over a fresh connection, whether it arrived there.
+  /// Ask the box of a try, over a new connection, whether the try arrived there.
   Ask {
     /// The try.
     id: TryId,
   },
-  /// Tell the caller that there is no answer.
+  /// Refuse the request: there is no answer for the caller.
   Refuse(AttemptOutcome),
   /// Start a try.
   Try(Box<TryOrder>),
-  /// Wait for the tries under way.
+  /// Wait for the tries in flight.
   Wait,
 }
 
-/// A try to be started.
+/// A try to start.
 #[derive(Clone, Debug)]
 pub struct TryOrder {
-  /// Milliseconds for which a new connection to the box may take to come up.
+  /// Connect timeout in milliseconds, if a new connection to the box is needed.
   pub connect_ms: u64,
-  /// The box.
+  /// The backend server.
   pub endpoint: Endpoint,
   /// The try.
   pub id: TryId,
-  /// Whether the request waits there for a slot, rather than going on to another box.
+  /// Whether the request may queue there, rather than be declined and go to another box.
   pub insists: bool,
-  /// Why each candidate was or was not chosen.
+  /// Why each candidate was chosen or not.
   pub verdicts: Vec<(BoxId, Verdict)>,
 }
--- a/src/requests/limiter.rs
+++ b/src/requests/limiter.rs
@@ -1,23 +1,23 @@
 use super::*;
 
-/// Bounds what one backend server runs at once, and who waits for it.
+/// Limits the concurrent requests of one backend server, and queues further ones.
 ///
-/// It sits in the daemon beside the backend server, through which every request to it goes; so the
-/// bound holds whichever daemons send.
+/// It runs in the daemon beside the backend server, through which all its requests pass, so the
+/// limit holds whichever daemons send.
 #[derive(Clone, Debug)]
 pub struct Limiter {
-  /// A moving average of the milliseconds that a request holds a slot.
+  /// Moving average of the milliseconds for which a request holds a slot.
   hold_ms: f64,
-  /// Longest queue.
+  /// Maximum queue length.
   queue_max: usize,
-  /// Running requests with their class and start. More than `slots` only after the slots shrank.
+  /// Running requests with their class and start. Exceeds `slots` only after these were reduced.
   running: BTreeMap<Ticket, (CallerClass, Time)>,
   /// At least 1.
   slots: usize,
-  /// How many times longer than expected requests of each rank waited lately, for others of a higher
-  /// rank came behind them and went first. At least 1.
+  /// By rank, the ratio of recent waits to expected ones, at least 1: later requests of a higher
+  /// rank go first.
   stretch: BTreeMap<u32, f64>,
-  /// Waiting requests. A ticket waits or runs, never both.
+  /// Queued requests. A ticket is either here or in `running`.
   waiting: Vec<Waiting>,
 }
 
@@ -26,7 +26,7 @@
   class: CallerClass,
   /// When its answer should be there.
   due: Time,
-  /// Milliseconds that it was expected to wait when it came, had nobody come behind it.
+  /// Expected wait in milliseconds when it was queued, without later arrivals.
   expected_ms: u64,
   priority: u32,
   since: Time,
@@ -34,20 +34,19 @@
 }
 
 impl Limiter {
-  /// The part of a usual run that must be left until an answer is due, for it to be there in time. Half
-  /// of the runs take less than about two thirds.
+  /// The fraction of a usual run that must be left until an answer is due for it to be in time.
+  /// Half of the runs take less than about two thirds of a usual run.
   const HURRIED_PART: f64 = 0.5;
-  /// Weight of the newest hold in the average.
+  /// Weight of the newest run in `hold_ms`.
   const HOLD_WEIGHT: f64 = 0.1;
-
-  /// Weight of the newest wait in the stretch of its rank.
+  /// Weight of the newest wait in the ratio of its rank.
   const STRETCH_WEIGHT: f64 = 0.2;
-  /// What a refusal leaves of the stretch, so that some request waits again and shows how it is now.
+  /// Decay of the ratio with each refusal, so that a request queues again and updates it.
   const STRETCH_KEPT: f64 = 0.95;
-  /// Largest stretch: beyond it nobody would ever wait.
+  /// Largest ratio: beyond it no request would ever be queued.
   const STRETCH_MAX: f64 = 20.0;
 
-  /// A limiter of so many slots, at which `queue_max` requests may wait.
+  /// Creates a limiter of `slots` concurrent and `queue_max` queued requests.
   pub fn new(slots: usize, queue_max: usize) -> Self {
     Self {
       hold_ms: 1.0,
@@ -59,7 +58,7 @@
     }
   }
 
-  /// A request arrives.
+  /// Admits, queues or sheds a request that arrives.
   pub fn arrive(&mut self, now: Time, ticket: Ticket, demand: Demand) -> Arrival {
     if self.running.len() < self.slots && self.waiting.is_empty() {
       self.running.insert(ticket, (demand.class, now));
@@ -70,7 +69,7 @@
     let expected_ms = self.wait_behind_ms(ahead);
     let wait_ms = self.stretched_ms(demand.priority, expected_ms);
     if self.waiting.len() >= self.queue_max || wait_ms > patience_ms {
-      // One that would not wait anyway says nothing of how long it would have been.
+      // A request that may not wait would not have updated the ratio.
       if patience_ms > 0 {
         self.relax(demand.priority);
       }
@@ -81,8 +80,8 @@
     Arrival::Queued { patience_ms }
   }
 
-  /// Milliseconds for which a request may wait: as long as its answer can still be in time, where it
-  /// waits for no longer than that.
+  /// Milliseconds for which a request may queue. One that doesn't wait beyond its due time leaves
+  /// the queue as soon as its answer can't be in time.
   fn patience_ms(&self, now: Time, demand: &Demand) -> u64 {
     let patience_ms = demand.patience.since_ms(now);
     if demand.patience > demand.due {
@@ -93,7 +92,7 @@
     patience_ms.min(demand.due.since_ms(now).saturating_sub(hurried_ms))
   }
 
-  /// Milliseconds until a request that arrives now would have a slot.
+  /// Milliseconds until a request that arrives now would get a slot.
   pub fn expected_wait_ms(&self) -> u64 {
     self.wait_behind_ms(self.waiting.len())
   }
@@ -112,7 +111,7 @@
     (expected_ms as f64 * stretch).ceil() as u64
   }
 
-  /// A request that waited has its slot, or gave up.
+  /// Updates the ratio of a rank with a request that got its slot or left the queue.
   #[allow(clippy::cast_precision_loss)]
   fn note_wait(&mut self, now: Time, waited: &Waiting) {
     let ratio = now.since_ms(waited.since) as f64 / waited.expected_ms.max(1) as f64;
@@ -127,7 +126,8 @@
     }
   }
 
-  /// The process stood still for so long, which says nothing of how long requests run or wait.
+  /// Excludes a pause of the process, in milliseconds, from the times of running and queued
+  /// requests.
   pub fn stood_still(&mut self, for_ms: u64) {
     for (_, since) in self.running.values_mut() {
       *since = since.after(for_ms);
@@ -137,7 +137,7 @@
     }
   }
 
-  /// A request ended, or gave up waiting. Returns the requests that have a slot from now on.
+  /// Removes a request that ended or stopped waiting. Returns the requests that get a slot.
   pub fn leave(&mut self, now: Time, ticket: Ticket) -> Vec<Ticket> {
     if let Some((_, since)) = self.running.remove(&ticket) {
       #[allow(clippy::cast_precision_loss)]
@@ -165,9 +165,9 @@
     admitted
   }
 
-  /// The highest rank goes first, and within it the class with the fewest running requests. Within that
-  /// one those that can still be served in time, and of them the newest: under overload some are served
-  /// late or not at all in any order, and this one makes the fewest late.
+  /// Returns the index of the next request: by rank, then the class with the fewest running
+  /// requests, then requests that can still be in time, then the newest. Under overload some
+  /// requests are late in any order, and newest first makes the fewest late.
   fn next(&self, now: Time) -> Option<usize> {
     let running_of =
       |class: &CallerClass| self.running.values().filter(|(running, _)| running == class).count();
@@ -178,35 +178,35 @@
     (0..self.waiting.len()).min_by_key(|index| order(&self.waiting[*index]))
   }
 
-  /// Whether an answer that is due at `due` can hardly be there in time.
+  /// Whether an answer that is due at `due` is unlikely to be in time.
   #[allow(clippy::cast_precision_loss)]
   fn is_late(&self, now: Time, due: Time) -> bool {
     (due.since_ms(now) as f64) < self.hold_ms * Self::HURRIED_PART
   }
 
-  /// Running and waiting requests in percent of the slots.
+  /// Running and queued requests in percent of the slots.
   pub fn load_percent(&self) -> u32 {
     let load = (self.running.len() + self.waiting.len()) * 100 / self.slots;
     u32::try_from(load).unwrap_or(u32::MAX)
   }
 
-  /// Sets how many requests may wait.
+  /// Sets the maximum queue length.
   pub fn set_queue_max(&mut self, queue_max: usize) {
     self.queue_max = queue_max;
   }
 
-  /// Sets how many requests may run. Returns the requests that have a slot from now on.
+  /// Sets the number of slots, at least 1. Returns the requests that get a slot.
   pub fn set_slots(&mut self, now: Time, slots: usize) -> Vec<Ticket> {
     self.slots = slots.max(1);
     self.admit(now)
   }
 
-  /// Running requests.
+  /// Number of running requests.
   pub fn running(&self) -> usize {
     self.running.len()
   }
 
-  /// Waiting requests.
+  /// Number of queued requests.
   pub fn waiting(&self) -> usize {
     self.waiting.len()
   }
--- a/src/requests/link_budget.rs
+++ b/src/requests/link_budget.rs
@@ -1,35 +1,38 @@
 use super::*;
 
-/// Bounds the bodies that a box takes over its network link, so that a few large ones do not hold up
-/// everything else that the link carries.
+/// Limits the request bodies that a box accepts over its network link, so that a few large ones
+/// don't delay all other traffic.
 ///
-/// The link is seen as a queue that empties at its own speed: a body is taken where it would be in
-/// soon enough. What else the link carries is counted as it comes: it cannot be put off, so bodies get what it leaves.
+/// The link is modelled as a queue that drains at the link's rate: a body is accepted if the queue
+/// in front of it is short enough. Other traffic can't be delayed, so it is counted as it comes and
+/// bodies get the rest.
 #[derive(Clone, Debug)]
 pub struct LinkBudget {
-  /// The bodies alone, which may fill a part of the link.
+  /// Large bodies alone, limited to a fraction of the link.
   bodies: LinkQueue,
-  /// A moving average of the size of large bodies, for those that do not tell theirs.
+  /// Moving average of the size of large bodies, used for those of unknown size.
   typical_bytes: f64,
-  /// All that comes.
+  /// All incoming traffic.
   whole: LinkQueue,
 }
 
 impl LinkBudget {
-  /// The part of the link that bodies may fill, however little else comes.
+  /// The fraction of the link that bodies may fill, even without other traffic.
   const BODY_PART: f64 = 0.8;
-  /// Milliseconds of the queue above which no further body is taken, though its caller would wait.
+  /// Queue length in milliseconds above which bodies are refused, even if their callers would wait.
   const QUEUE_MAX_MS: f64 = 250.0;
-  /// Bodies up to this size are always taken: the queue is about large ones.
+  /// Bodies of up to this many bytes are always accepted.
   pub const SMALL_BYTES: u64 = 4_096;
-  /// The part of the link that all together may fill. The rest is for the heads of packets, and for control.
+  /// The fraction of the link that all traffic may fill. The rest is for packet headers and control
+  /// traffic.
   const WHOLE_PART: f64 = 0.95;
-  /// Bodies above this size take part of a narrow link's second, so that it matters whether they cross one.
+  /// Bodies above this many bytes take a noticeable part of a second on a narrow link, so the
+  /// choice of a box considers whether they cross one.
   pub const LARGE_BYTES: u64 = 16_384;
-  /// Weight of the newest body in the average.
+  /// Weight of the newest body in `typical_bytes`.
   const TYPICAL_WEIGHT: f64 = 0.1;
 
-  /// The budget of a link of so many megabits a second.
+  /// Creates the budget of a link of `link_mbps` megabits a second.
   pub fn new(link_mbps: f64) -> Self {
     Self {
       bodies: LinkQueue::new(link_mbps, Self::BODY_PART),
@@ -38,8 +41,9 @@
     }
   }
 
-  /// Takes a body, of `bytes` where that is known, or tells after how many milliseconds to come back.
-  /// `backlog_ms` is what the link needs for the bodies that are not in yet: more than reckoned, where others fill it.
+  /// Accepts a body of `bytes`, `None` if unknown. `backlog_ms` is the time that the link needs for
+  /// the accepted bodies that are still incomplete; it exceeds the modelled queue if other traffic
+  /// fills the link. On refusal, the error is the number of milliseconds after which to retry.
   pub fn take(
     &mut self,
     now: Time,
@@ -65,7 +69,7 @@
     Ok(())
   }
 
-  /// Bytes come that are no large body: heads, small bodies, answers.
+  /// Counts received bytes of other traffic: heads, small bodies, answers.
   pub fn note(&mut self, now: Time, bytes: u64) {
     #[allow(clippy::cast_precision_loss)]
     self.whole.put(now, bytes as f64);
@@ -75,7 +79,7 @@
     self.bodies.waits_ms(now).max(self.whole.waits_ms(now))
   }
 
-  /// How full the queue is, in percent.
+  /// Queue length in percent of its limit.
   pub fn load_percent(&self, now: Time) -> u32 {
     let percent = |queue: &LinkQueue| queue.percent_of(now, Self::QUEUE_MAX_MS);
     percent(&self.bodies).max(percent(&self.whole))
--- a/src/requests/open_exchanges.rs
+++ b/src/requests/open_exchanges.rs
@@ -1,50 +1,50 @@
 use super::*;
 
-/// The requests that a daemon works on, each from its arrival until the last byte of its answer was written, or
-/// it was given up. Tells what a planned stop still waits for.
+/// The requests that a daemon handles, each from its arrival until its answer was written whole or
+/// the request was cancelled. A planned stop waits for them.
 #[derive(Clone, Debug, Default)]
 pub struct OpenExchanges {
   entries: BTreeMap<ExchangeId, OpenExchange>,
   last: u64,
 }
 
-/// Numbers the exchanges of a daemon.
+/// Identifies an exchange within a daemon.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct ExchangeId(u64);
 
-/// A request that is not answered whole yet.
+/// A request whose answer is not yet written whole.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct OpenExchange {
-  /// Its answer; nothing before the first byte was given.
+  /// Progress of the answer; `None` before its first byte.
   pub answer: Option<OpenAnswer>,
-  /// When it arrived.
+  /// When the request arrived.
   pub began: Time,
   /// Who sent it.
   pub from: Sender,
-  /// The request.
+  /// The request's id.
   pub request_id: RequestId,
 }
 
-/// An answer that is being given.
+/// Progress of an answer that is being written.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct OpenAnswer {
-  /// Bytes that were given to the connection so far.
+  /// Bytes written to the connection so far.
   pub given_bytes: u64,
-  /// Bytes of the whole, where it says so.
+  /// Bytes of the whole answer, if known.
   pub whole_bytes: Option<u64>,
 }
 
-/// Who sends a request to a daemon.
+/// The kind of sender of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Sender {
-  /// Another daemon, for one of its callers.
+  /// Another daemon, on behalf of one of its callers.
   Box,
   /// A caller.
   Caller,
 }
 
 impl OpenExchanges {
-  /// A request arrives.
+  /// Adds a request that arrives.
   pub fn begin(&mut self, now: Time, from: Sender, request_id: RequestId) -> ExchangeId {
     self.last += 1;
     let id = ExchangeId(self.last);
@@ -52,24 +52,24 @@
     id
   }
 
-  /// So much of its answer was given by now.
+  /// Updates the progress of an answer.
   pub fn note(&mut self, id: ExchangeId, answer: OpenAnswer) {
     if let Some(entry) = self.entries.get_mut(&id) {
       entry.answer = Some(answer);
     }
   }
 
-  /// Its answer was given whole, or it was given up.
+  /// Removes a request that was answered whole or cancelled.
   pub fn end(&mut self, id: ExchangeId) {
     self.entries.remove(&id);
   }
 
-  /// One that is open.
+  /// Returns an open exchange.
   pub fn get(&self, id: ExchangeId) -> Option<&OpenExchange> {
     self.entries.get(&id)
   }
 
-  /// All that are open, oldest first.
+  /// All open exchanges, oldest first.
   pub fn iter(&self) -> impl Iterator<Item = &OpenExchange> {
     self.entries.values()
   }
--- a/src/requests/quarantine.rs
+++ b/src/requests/quarantine.rs
@@ -1,73 +1,81 @@
 use super::*;
 
-/// The requests under which processes of backend servers ended, wherever in the fleet, and which of them are held back.
+/// Tracks the requests that were running when backend server processes crashed anywhere in the
+/// fleet, and holds back likely culprits.
 ///
-/// One crash counts against all that ran at that moment, most of which had no part in it: they go on as before, and
-/// each that runs to its end is cleared. What ran in two crashes without any end between them is held for a second and
-/// then tried alone, at one box of the fleet. What ends a third process is held for longer each time.
+/// A crash makes a suspect of every request that was running, though most did not cause it.
+/// Suspects of one crash are still sent, and a completed run clears them. A request that was
+/// running in two crashes without a completed run in between is held for a second and then run
+/// alone, on one box of the fleet (a trial). From the third crash on it is held for longer each
+/// time.
 ///
-/// Without it one request, sent anew every 60 ms, ended 24 processes of four backend servers in the 8 s from three
-/// seconds after the third; with it one, the trial after ten seconds (eight real daemons).
+/// In a test with eight real daemons, a crashing request sent every 60 ms ended 24 processes of
+/// four backend servers in the 8 s that began three seconds after the third crash; with the
+/// quarantine it ended one, in the trial after ten seconds.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
-  /// The findings that each box told last, by their ids.
+  /// Ids of the findings that each box last reported.
   heard: BTreeMap<BoxId, Vec<u64>>,
   suspects: BTreeMap<Fingerprint, Suspect>,
   swept_at: Time,
-  /// The suspect that the backend server beside this daemon runs on trial.
+  /// The suspect that the local backend server runs on trial.
   trial: Option<Fingerprint>,
 }
 
-/// A request under which processes of backend servers ended.
+/// A request that was running when backend server processes crashed.
 #[derive(Clone, Debug)]
 pub struct Suspect {
   /// The boxes of the last crashes, oldest first.
   pub boxes: Vec<BoxId>,
-  /// Processes that ended while they ran it, since it last ran to its end.
+  /// Crashes since its last completed run.
   pub crashes: u32,
-  /// When the last one was heard of.
+  /// When the last crash was reported.
   pub last_crash_at: Time,
-  /// When the round began that is on.
+  /// When the current round began.
   round_at: Time,
-  /// Rounds of crashes from the third one on, each but the first one begun by a trial.
+  /// Rounds of crashes, counted from the third crash. Each round but the first begins with a trial.
   rounds: u32,
 }
 
-/// What a finding changed, for the log.
+/// A change of the quarantine, for the log.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum QuarantineChange {
-  /// A request that was held back ran to its end.
+  /// A request that was held back completed a run.
   Cleared(Fingerprint),
-  /// A request is held back, for so many processes ended while they ran it.
+  /// A request is held back after this many crashes.
   Held(Fingerprint, u32),
 }
 
 impl Quarantine {
-  /// Boxes of crashes that are remembered for operators: enough to find the log lines of the first ones.
+  /// Boxes remembered per suspect, enough for operators to find the log lines of the crashes.
   const BOXES_MAX: usize = 4;
-  /// Crashes from which a request is held back. With six backend servers one in five of those that only ran beside
-  /// the cause is in both of two crashes, for it was tried again where that one was.
+  /// Crashes from which a request is held back. With six backend servers, one in five innocent
+  /// requests of a crash is in the next crash too, for it was retried where the cause was retried.
   const HELD_CRASHES: u32 = 2;
-  /// Milliseconds for which a request of two crashes is held: until the whole fleet has heard of them. Callers that
-  /// wait for a few seconds still get their answer after that.
+  /// Milliseconds for which a request of two crashes is held, so that the whole fleet learns of
+  /// them. Callers that wait for a few seconds still get their answer.
   const HOLD_FIRST_MS: u64 = 1_000;
-  /// Milliseconds for which a request is held once it ended a third process, by round. Each trial may cost a backend
-  /// server all that it runs, and some seconds.
+  /// Milliseconds for which a request is held from its third crash on, by round. Each trial may
+  /// cost a backend server all its running requests and some seconds.
   const HOLDS_MS: [u64; 3] = [10_000, 60_000, 300_000];
-  /// Milliseconds within which crashes belong to one round: those that were under way before the fleet knew.
+  /// Milliseconds within which crashes count as one round: the requests were sent before the fleet
+  /// knew of the first crash.
   const ROUND_MS: u64 = 3_000;
-  /// Milliseconds after its last crash for which a request is remembered. What nobody sends for so long may come anew.
+  /// Milliseconds after its last crash for which a request of two or more crashes is remembered.
+  /// One that has not crashed anything for that long may run again.
   const REMEMBERED_MS: u64 = 3_600_000;
-  /// Milliseconds for which a request of one crash is remembered: longer than its caller would wait to send it again.
+  /// Milliseconds for which a request of one crash is remembered, longer than its caller waits
+  /// before a retry.
   const REMEMBERED_ONCE_MS: u64 = 600_000;
-  /// Milliseconds after which a request comes again whose trial box is at work on another one.
+  /// Milliseconds after which to retry a request whose trial box is busy with another trial.
   const TRIAL_RETRY_MS: u64 = 300;
-  /// Milliseconds between two sweeps.
+  /// Milliseconds between two removals of expired suspects.
   const SWEEP_MS: u64 = 5_000;
-  /// Suspects that are remembered, at 200 bytes each by their fields. Beyond that those of the fewest crashes go first.
+  /// Maximum number of suspects, of about 200 bytes each. Above it, those with the fewest crashes
+  /// are removed first.
   const SUSPECTS_MAX: usize = 4_096;
 
-  /// Takes in what boxes found that was not heard before. Returns what changed by it.
+  /// Processes the new findings of boxes. Returns the resulting changes.
   pub fn hear<'a>(
     &mut self,
     now: Time,
@@ -76,7 +84,8 @@
     self.sweep(now);
     let fresh: Vec<(&BoxId, &RunFinding)> = endpoints.flat_map(|one| self.unheard(one)).collect();
     let mut changes = Vec::new();
-    // A daemon that starts hears all at once, in no order: what ran to its end anywhere is cleared.
+    // A daemon that starts receives all findings at once, unordered. Crashes are counted first, so
+    // that a completed run anywhere clears a request.
     for (box_id, finding) in &fresh {
       if let RunOutcome::Crashed(suspects) = &finding.what {
         changes
@@ -91,7 +100,7 @@
     changes
   }
 
-  /// The findings of a box that it did not tell before.
+  /// Returns the findings of a box that it had not reported before.
   fn unheard<'a>(&mut self, endpoint: &'a Endpoint) -> Vec<(&'a BoxId, &'a RunFinding)> {
     let box_id = &endpoint.peer.box_id;
     if endpoint.findings.is_empty() && !self.heard.contains_key(box_id) {
@@ -103,7 +112,7 @@
     fresh.map(|finding| (box_id, finding)).collect()
   }
 
-  /// Forgets what was heard of boxes that nobody knows any more.
+  /// Forgets the findings of boxes that are no longer known.
   pub fn retain(&mut self, is_known: impl Fn(&BoxId) -> bool) {
     self.heard.retain(|box_id, _| is_known(box_id));
   }
@@ -138,12 +147,12 @@
     was_held.then_some(QuarantineChange::Cleared(fingerprint))
   }
 
-  /// Whether a request is suspected of anything, so that its whole run clears it.
+  /// Whether a request is a suspect, so that its completed run has to be reported.
   pub fn is_suspect(&self, fingerprint: Fingerprint) -> bool {
     self.suspects.contains_key(&fingerprint)
   }
 
-  /// Whether a request may be sent.
+  /// Returns whether a request may be sent.
   pub fn standing(&self, now: Time, fingerprint: Fingerprint) -> Standing {
     let suspect = self.suspects.get(&fingerprint);
     let Some(suspect) = suspect.filter(|suspect| suspect.crashes >= Self::HELD_CRASHES) else {
@@ -156,8 +165,8 @@
     Standing::Held { crashes: suspect.crashes, retry_after_ms: left_ms }
   }
 
-  /// The box at which a request may be tried: the same one wherever it is asked for, as far as the same boxes
-  /// are known.
+  /// Chooses the trial box of a request by rendezvous hashing. Daemons that know the same boxes
+  /// choose the same one.
   pub fn trial_box<'a>(
     fingerprint: Fingerprint,
     candidates: impl Iterator<Item = &'a BoxId>,
@@ -166,9 +175,9 @@
       .max_by_key(|box_id| Digest::of(format!("{fingerprint} {box_id}").as_bytes()).prefix())
   }
 
-  /// Begins a run at the backend server beside this daemon. A request on trial may run only where its trial box is
-  /// this one, also where whoever sent it knew nothing of it, and alone among its like;
-  /// [`Quarantine::trial_ended`] follows.
+  /// Checks whether a request may run at the local backend server, and begins its trial if it needs
+  /// one. A trial runs only on the request's trial box, even if the sender knew nothing of it, and
+  /// one at a time. The caller reports its end to [`Quarantine::trial_ended`].
   pub fn begin_run(
     &mut self,
     now: Time,
@@ -187,7 +196,7 @@
     standing
   }
 
-  /// The run of a request on trial is over.
+  /// Ends the trial of a request.
   pub fn trial_ended(&mut self, fingerprint: Fingerprint) {
     self.trial.take_if(|trial| *trial == fingerprint);
   }
@@ -213,29 +222,30 @@
     }
   }
 
-  /// How many requests are held back or on trial.
+  /// Number of requests that are held back or on trial.
   pub fn held(&self) -> usize {
     self.suspects.values().filter(|suspect| suspect.crashes >= Self::HELD_CRASHES).count()
   }
 
-  /// All requests under which processes ended.
+  /// All suspects.
   pub fn suspects(&self) -> impl Iterator<Item = (Fingerprint, &Suspect)> {
     self.suspects.iter().map(|(fingerprint, suspect)| (*fingerprint, suspect))
   }
 
-  /// Requests that are remembered.
+  /// Number of suspects.
   pub fn len(&self) -> usize {
     self.suspects.len()
   }
 
-  /// Whether no request is suspected.
+  /// Whether there are no suspects.
   pub fn is_empty(&self) -> bool {
     self.suspects.is_empty()
   }
 }
 
 impl Suspect {
-  /// Milliseconds for which it is held after its last crash. After the last trial it stays held.
+  /// Milliseconds for which it is held after its last crash. After the last round it stays held
+  /// until it is forgotten.
   fn hold_ms(&self) -> u64 {
     match (self.rounds as usize).checked_sub(1) {
       None => Quarantine::HOLD_FIRST_MS,
--- a/src/requests/record_book.rs
+++ b/src/requests/record_book.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// The request records that a daemon keeps: bounded, with a place of their own for failures so that
-/// a flood of successes does not push them out.
+/// The request records that a daemon retains, bounded in number. Failures have a list of their own,
+/// so that many successes don't evict them.
 #[derive(Clone, Debug, Default)]
 pub struct RecordBook {
   failures: VecDeque<RequestRecord>,
@@ -9,10 +9,10 @@
 }
 
 impl RecordBook {
-  /// Records kept of each kind.
+  /// Maximum number of records in each list.
   pub const KEPT_MAX: usize = 256;
 
-  /// Keeps a record.
+  /// Adds a record, and evicts the oldest one of its list if that is full.
   pub fn add(&mut self, record: RequestRecord) {
     let kept = if record.is_failure() { &mut self.failures } else { &mut self.successes };
     if kept.len() == Self::KEPT_MAX {
@@ -21,12 +21,12 @@
     kept.push_back(record);
   }
 
-  /// The records of a request, newest first.
+  /// Returns the records of a request, newest first within failures and successes.
   pub fn find(&self, id: &RequestId) -> Vec<&RequestRecord> {
     self.iter().filter(|record| record.id == *id).collect()
   }
 
-  /// All records, newest first within each kind.
+  /// All records: failures, then successes, each newest first.
   pub fn iter(&self) -> impl Iterator<Item = &RequestRecord> {
     self.failures.iter().rev().chain(self.successes.iter().rev())
   }
--- a/src/requests/request_key.rs
+++ b/src/requests/request_key.rs
@@ -1,6 +1,6 @@
 use super::*;
 
 text::name! {
-  /// The key of a request that must run at most once.
+  /// The idempotency key of a request that must run at most once.
   RequestKey, "request key"
 }
--- a/src/requests/request_record.rs
+++ b/src/requests/request_record.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-/// What a daemon remembers of a request that it carried.
+/// The record of a request that a daemon handled.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct RequestRecord {
   /// The tries, in order.
   pub attempts: Vec<Attempt>,
-  /// The box whose daemon carried the request.
+  /// The box whose daemon handled the request.
   pub box_id: BoxId,
-  /// What became of the claim on the request's key.
+  /// The outcome of the claim on the request's key.
   pub claim: Option<String>,
   /// The caller's class.
   pub class: CallerClass,
@@ -17,9 +17,9 @@
   pub line: String,
   /// Why the request was refused.
   pub refusal: Option<String>,
-  /// The route and the service that it names.
+  /// The matched route and its service.
   pub route: Option<(RouteName, ServiceName)>,
-  /// The status that the caller got.
+  /// The status code that the caller received.
   pub status: u16,
   /// Microseconds to the head of the answer.
   pub took_us: u64,
@@ -30,15 +30,15 @@
 }
 
 impl RequestRecord {
-  /// Characters of a method and path that are kept.
+  /// Maximum number of characters of a method and path.
   const LINE_CHARS_MAX: usize = 200;
 
-  /// The method and path of a request, as records and logs name it.
+  /// Returns the method and path of a request as they appear in records and logs.
   pub fn line_of(method: &Method, target: &http::Uri) -> String {
     format!("{method} {}", target.path()).chars().take(Self::LINE_CHARS_MAX).collect()
   }
 
-  /// Whether the request ended in a way that someone may ask about.
+  /// Whether the request was refused, answered with a server error, or tried more than once.
   pub fn is_failure(&self) -> bool {
     self.refusal.is_some() || self.status >= 500 || self.attempts.len() > 1
   }
--- a/src/requests/router.rs
+++ b/src/requests/router.rs
@@ -3,13 +3,13 @@
 /// Finds the route of a request in one version of the configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Router {
-  /// Routes by the first segment of their path, most specific first.
+  /// Routes by the first segment of their path prefix, most specific first.
   by_segment: BTreeMap<String, Vec<(RouteName, Route)>>,
   version: Version,
 }
 
 impl Router {
-  /// Indexes the routes of a configuration.
+  /// Creates a router for the routes of a configuration.
   pub fn new(configuration: &Configuration) -> Self {
     let mut by_segment: BTreeMap<String, Vec<(RouteName, Route)>> = BTreeMap::new();
     for (name, route) in &configuration.routes {
@@ -25,7 +25,7 @@
     Self { by_segment, version: configuration.version }
   }
 
-  /// The most specific route that takes the request.
+  /// Returns the most specific route that matches the request.
   pub fn find(
     &self,
     method: &Method,
@@ -54,13 +54,14 @@
     })
   }
 
-  /// The version whose routes these are.
+  /// The configuration version of the routes.
   pub fn version(&self) -> Version {
     self.version
   }
 }
 
-/// `a` of `/a/b`; empty for `/`. A route whose path ends inside a segment matches by borders alone.
+/// Returns `a` for `/a/b`, and an empty string for `/`. Routes match whole segments only, so the
+/// first segment of a request's path is that of every matching route with a non-empty prefix.
 fn first_segment(path: &str) -> &str {
   path.trim_start_matches('/').split('/').next().unwrap_or_default()
 }
--- a/src/requests/run_end.rs
+++ b/src/requests/run_end.rs
@@ -1,10 +1,10 @@
-/// How the run of a request at the backend server ended.
+/// How a run of a request at the backend server ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RunEnd {
-  /// The connection broke before the whole answer had come.
+  /// The connection broke before the answer was complete.
   Broken,
-  /// Nobody waited for it any more, or the backend server rejected it.
+  /// The run was cancelled, or the backend server rejected the request.
   GivenUp,
-  /// The whole answer came.
+  /// The answer was complete.
   Whole,
 }
--- a/src/requests/settlement.rs
+++ b/src/requests/settlement.rs
@@ -1,22 +1,23 @@
 use super::*;
 
-/// What a claim came to.
+/// The outcome of a claim step.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Settlement {
-  /// The claim is held: run the request. The result is recorded at this revision.
+  /// The claim is held, so the request may run. Its result is recorded by a compare-and-swap on
+  /// this revision.
   Held(Revision),
-  /// The key came before with other content.
+  /// The key was used before with other content.
   Mismatch,
-  /// The request does not run: the store could not be asked.
+  /// The request does not run, for the store could not be reached.
   NotRun {
     /// Why.
     reason: String,
   },
-  /// The result is recorded, or need not be.
+  /// The result is recorded, or does not have to be.
   Recorded,
-  /// The key came before, and this is what became of it.
+  /// The key was used before; this is the state of that request.
   Repeated(ClaimState),
-  /// The result could not be recorded: a repetition will hear "unknown".
+  /// The result could not be recorded, so a repeated request gets the outcome "unknown".
   Unrecorded {
     /// Why.
     reason: String,
--- a/src/requests/splitter.rs
+++ b/src/requests/splitter.rs
@@ -1,22 +1,22 @@
 use super::*;
 
-/// Shares the requests of a route among services by weight.
+/// Splits the requests of a route among services by weight.
 ///
-/// Each daemon deals its own requests out in turn, so that its shares are off by less than one
-/// request for each service. It starts anywhere in its turn, so that the first requests of many daemons
-/// are shared by weight too.
+/// Each daemon uses a weighted round robin, so that its shares are off by less than one request per
+/// service. It starts at a random point of the cycle, so that the first requests of many daemons
+/// are split by weight too.
 #[derive(Clone, Debug, Default)]
 pub struct Splitter {
-  /// How far each service of a route is behind its share, in requests.
+  /// By how many requests each service of a route is below its share.
   due: BTreeMap<RouteName, BTreeMap<ServiceName, f64>>,
 }
 
 impl Splitter {
-  /// Steps within which a turn begins, at most: as many as the usual weights add up to, which is how
-  /// often turns repeat.
+  /// Maximum number of random initial steps: the usual sum of weights, which is the length of a
+  /// cycle.
   const START_MAX: u32 = 1_000;
 
-  /// The service that takes the next request of a route; nothing where no weight is above zero.
+  /// Returns the service for the next request of a route, or `None` if no weight is above zero.
   pub fn next(
     &mut self,
     route: &RouteName,
@@ -40,13 +40,14 @@
     deal(self.due.get_mut(route)?, shares, total)
   }
 
-  /// Forgets routes that are gone.
+  /// Forgets routes that no longer exist.
   pub fn retain(&mut self, is_known: impl Fn(&RouteName) -> bool) {
     self.due.retain(|route, _| is_known(route));
   }
 }
 
-/// Adds each service's share of one request, and gives the request to the one furthest behind.
+/// Adds each service's share of one request, and assigns the request to the one furthest below its
+/// share.
 fn deal(
   due: &mut BTreeMap<ServiceName, f64>,
   shares: &[WeightedService],
@@ -55,8 +56,8 @@
   for share in shares {
     *due.get_mut(&share.service)? += f64::from(share.weight) / f64::from(total);
   }
-  let heard = shares.iter().filter(|share| share.weight > 0);
-  let chosen = heard.max_by(|one, other| due[&one.service].total_cmp(&due[&other.service]))?;
+  let weighted = shares.iter().filter(|share| share.weight > 0);
+  let chosen = weighted.max_by(|one, other| due[&one.service].total_cmp(&due[&other.service]))?;
   *due.get_mut(&chosen.service)? -= 1.0;
   Some(chosen.service.clone())
 }
--- a/src/requests/stakes.rs
+++ b/src/requests/stakes.rs
@@ -1,17 +1,17 @@
 use super::*;
 
-/// What a request has to lose by the choice of its backend server.
+/// The properties of a request on which the choice of its backend server depends.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Stakes {
-  /// Bytes that its answer is expected to have.
+  /// Expected bytes of its answer.
   pub answer_bytes: u64,
-  /// Bytes of the request's body, as far as known.
+  /// Bytes of its body, as far as known.
   pub body_bytes: u64,
-  /// Milliseconds until its answer should be there.
+  /// Milliseconds until its answer is due.
   pub due_ms: u64,
-  /// The box at which its large body is already, where that runs its service: everywhere else the body has to
-  /// cross links first.
+  /// The box that already has its large body, if any. For a backend server on any other box, the
+  /// body has to cross network links.
   pub near_box: Option<BoxId>,
-  /// Whether it may run again where its first run fails.
+  /// Whether it may run again if its first run fails.
   pub repeatable: bool,
 }
--- a/src/requests/standing.rs
+++ b/src/requests/standing.rs
@@ -1,18 +1,18 @@
 use super::*;
 
-/// Whether a request may be sent to backend servers.
+/// Whether the quarantine lets a request run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Standing {
-  /// It may, as any other.
+  /// It may run without restriction.
   Free,
-  /// It may not for now: processes of backend servers ended while they ran it.
+  /// It may not run for now, for backend server processes crashed while they ran it.
   Held {
-    /// How many.
+    /// Number of crashes.
     crashes: u32,
-    /// Milliseconds until it may be tried again.
+    /// Milliseconds after which to retry.
     retry_after_ms: u64,
   },
-  /// It may be tried at one box, alone among its like.
+  /// It may run on its trial box, without another trial beside it.
   OnTrial,
 }
 
--- a/src/requests/stop_limit.rs
+++ b/src/requests/stop_limit.rs
@@ -1,23 +1,23 @@
 use super::*;
 
-/// What a box that stops may still take: only what it can bring to an end.
+/// Limits the requests that a box accepts during a planned stop to those it can complete.
 ///
-/// Work that goes on when the stop ends would be cut with its caller's connection. So a request that comes during
-/// the stop has less time, wherever it goes: boxes that cannot serve it by then refuse it at once as not run, and
-/// the backend server knows for how long its answer is wanted.
+/// Requests that are unfinished when the stop ends lose their caller's connection. So a request
+/// that arrives during the stop gets an earlier deadline: boxes that can't serve it by then refuse
+/// it at once as not run, and the backend server knows how long its answer is wanted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct StopLimit {
-  /// When the daemon ends, with all that is open.
+  /// When the daemon exits and closes all connections.
   pub ends_at: Time,
 }
 
 impl StopLimit {
-  /// Milliseconds before the end of the stop by which an answer must begin, so that it crosses in time: as long as
-  /// answers may wait in front of a link, and as long again for its own bytes.
+  /// Milliseconds before the end of the stop by which an answer must begin: the longest time that
+  /// answers queue in front of a link, and as long again to send its own bytes.
   const CROSSING_MS: u64 = 500;
 
-  /// By when a request that comes now must be answered, where its caller waits until `deadline`; nothing where it
-  /// cannot be taken any more.
+  /// Returns the deadline of a request that arrives now and whose caller waits until `deadline`, or
+  /// `None` if it is too late to accept it.
   pub fn deadline(&self, now: Time, deadline: Time) -> Option<Time> {
     let answered_by = Time(self.ends_at.0.saturating_sub(Self::CROSSING_MS));
     let deadline = deadline.min(answered_by);
--- a/src/requests/surroundings.rs
+++ b/src/requests/surroundings.rs
@@ -1,25 +1,25 @@
 use super::*;
 
-/// What the daemon knows at the moment of a decision about a request.
+/// The state of the daemon that a dispatch decision uses.
 pub struct Surroundings<'a> {
-  /// What is known of the backend servers.
+  /// Load and health of the backend servers.
   pub balancer: &'a mut Balancer,
-  /// What may be spent on retries.
+  /// The retry budget.
   pub budget: &'a mut RetryBudget,
-  /// The backend servers of the request's service.
+  /// Backend servers of the request's service.
   pub candidates: &'a [Endpoint],
   /// The data hall of this daemon.
   pub data_hall: &'a DataHall,
-  /// The data halls that operators evacuate.
+  /// Data halls that operators evacuate.
   pub evacuated: &'a BTreeSet<DataHall>,
   /// Whether operators drain a box.
   pub is_drained: &'a dyn Fn(&BoxId) -> bool,
-  /// The present moment.
+  /// The current time.
   pub now: Time,
   /// The box of this daemon.
   pub own_box: &'a BoxId,
-  /// Randomness.
+  /// Source of randomness.
   pub rng: &'a mut ChaCha8Rng,
-  /// Which versions of the service get which requests.
+  /// The split of requests among the versions of the service.
   pub traffic: &'a Traffic,
 }
--- a/src/requests/terms.rs
+++ b/src/requests/terms.rs
@@ -1,25 +1,25 @@
 use super::*;
 
-/// What is known of a request when it sets out, as far as it decides its way.
+/// The properties of a request on which its dispatch depends.
 #[derive(Clone, Debug)]
 pub struct Terms {
-  /// Bytes that its answer is expected to have.
+  /// Expected bytes of its answer.
   pub answer_bytes: u64,
-  /// Backend servers to which it may be sent; at least 1.
+  /// Maximum number of backend servers to which it is sent, at least 1.
   pub attempts_max: u32,
   /// Bytes of its body, as far as known.
   pub body_bytes: u64,
   /// When its final answer is due.
   pub deadline: Time,
-  /// Which of its service's versions it is meant for.
+  /// The version of its service that should serve it.
   pub lane: Lane,
-  /// The one box to which it may be sent; any where there is none.
+  /// The only box to which it may be sent; `None` allows all.
   pub only_box: Option<BoxId>,
-  /// The regions in which it may be served; nothing where it may be anywhere.
+  /// The regions in which it may be served; `None` allows all.
   pub regions: Option<BTreeSet<Region>>,
   /// Whether it may run more than once.
   pub repeatable: bool,
-  /// Whether an answer that tells of a failure is asked for elsewhere.
+  /// Whether it is retried after a backend server answered with a failure.
   pub retry_failures: bool,
   /// The service that receives it.
   pub service: ServiceName,
@@ -28,7 +28,7 @@
 }
 
 impl Terms {
-  /// What it has to lose by the choice of its backend server.
+  /// Returns what the choice of its backend server depends on.
   pub fn stakes(&self, now: Time, own_box: &BoxId) -> Stakes {
     Stakes {
       answer_bytes: self.answer_bytes,
--- a/src/requests/ticket.rs
+++ b/src/requests/ticket.rs
@@ -1,6 +1,6 @@
 use super::*;
 
 text::number! {
-  /// Names one request at a limiter.
+  /// Identifies a request within a limiter.
   Ticket, "ticket"
 }
--- a/src/requests/try_id.rs
+++ b/src/requests/try_id.rs
@@ -1,6 +1,6 @@
 use super::*;
 
 text::number! {
-  /// Names one try of a request, in the order in which they start.
+  /// Identifies a try of a request, numbered in start order.
   TryId, "try"
 }
--- a/src/requests/urgency.rs
+++ b/src/requests/urgency.rs
@@ -1,29 +1,28 @@
 use super::*;
 
-/// How urgent a request is: its rank, when its answer should be there, and until when it is worth
-/// waiting for a slot.
+/// The priority of a request, when its answer is due, and how long it may wait for a slot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Urgency {
-  /// When the answer should be there.
+  /// When the answer is due.
   pub due: Time,
-  /// Until when waiting for a slot is worth it. Where it ends with `due`, it is worth it only as long as
-  /// the answer can be in time; a call's ends later, for its parent has work behind it.
+  /// Until when the request may wait for a slot. If this equals `due`, it waits only while its
+  /// answer can be in time. It is later for a call of a running request, to save the work already
+  /// done.
   pub patience: Time,
-  /// The rank among requests for a service, 0 first.
+  /// The rank among the requests of a service, 0 first.
   pub priority: u32,
 }
 
 impl Urgency {
-  /// The part of its time for which a call of a running request waits. Refusing it would waste the
-  /// work that its parent has behind it.
+  /// The fraction of its remaining time for which a call of a running request may wait. A refusal
+  /// would waste the work that the running request has done.
   const CALL_PART: f64 = 0.75;
 
-  /// The urgency of a request of a rank that arrives now, `elapsed_ms` after its caller's first try. `is_call` says
-  /// that a running request needs it.
+  /// Returns the urgency of a request that arrives now, `elapsed_ms` after its caller's first try.
+  /// `is_call` tells that a running request made it.
   ///
-  /// A caller counts from its first try: one that came back has less time until its answer is due. Once
-  /// it is overdue it takes a slot that is free, and waits for none, so that it does not make others
-  /// late too.
+  /// The due time counts from the caller's first try, so a retry has less time left. An overdue
+  /// request takes a free slot but doesn't wait for one, so that it doesn't delay others.
   pub fn of(
     now: Time,
     deadline: Time,
@@ -43,7 +42,7 @@
   }
 }
 
-/// A part of a time.
+/// Returns a fraction of a duration.
 pub(super) fn part(duration_ms: u64, part: f64) -> u64 {
   #[allow(clippy::cast_possible_truncation, clippy::cast_precision_loss, clippy::cast_sign_loss)]
   let part_ms = (duration_ms as f64 * part) as u64;
--- a/src/requests/verdict.rs
+++ b/src/requests/verdict.rs
@@ -1,30 +1,30 @@
 use super::*;
 
-/// Why a backend server was or was not chosen for a try.
+/// Why a backend server was chosen for a try or not.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-  /// It was the best of those compared.
+  /// It was the best of the compared ones.
   Chosen,
-  /// An operator drains it, or it drains by itself.
+  /// It is draining, on its own or by an operator's request.
   Draining,
-  /// The operators evacuate its data hall.
+  /// Operators evacuate its data hall.
   Evacuated,
-  /// It failed several times in a row and rests.
+  /// It failed several times in a row and is ejected for a while.
   Ejected,
-  /// It is leaving or lost.
+  /// It is stopping or lost.
   Gone,
-  /// The request may be tried at another one only: it may end the process that runs it.
+  /// The request is on trial on another box, for it may crash the process that runs it.
   HeldBack,
-  /// Another of those compared was expected to do better.
+  /// Another of the compared ones was expected to do better.
   Loaded,
-  /// It was not among those compared.
+  /// It was not among the sampled candidates.
   NotCompared,
-  /// Its region is none of those in which the request may be served.
+  /// The request may not be served in its region.
   OtherRegion,
-  /// Its version is not in force, or gets other requests.
+  /// Its version is not in force, or serves other requests.
   OtherVersion,
-  /// It was tried for this request already.
+  /// It was already tried for this request.
   Tried,
 }
 
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -1,5 +1,5 @@
-//! The way of one request, decided without sockets: focused cases, and random histories against what
-//! must always hold.
+//! Tests the dispatch state machine without sockets: single cases, and invariants over random
+//! histories.
 
 mod support;
 
@@ -20,12 +20,12 @@
   support::{endpoints::endpoint, histories},
 };
 
-/// Random histories.
+/// Number of random histories.
 const HISTORIES: u64 = 2_000;
 /// When each request arrives.
 const START: Time = Time(1_000);
 
-/// What a daemon knows, and the time.
+/// The state of a daemon on which dispatch depends.
 struct Daemon {
   balancer: Balancer,
   budget: RetryBudget,
@@ -75,8 +75,8 @@
     ordered(self.handle(dispatch, DispatchEvent::Started))
   }
 
-  /// Wakes the decision as often as it wants, until it wants something else than to ask for a try. Boxes that
-  /// are asked still work on it.
+  /// Advances the time to the next wake-up until the step is no question to a box. Each question is
+  /// answered with "still working on it".
   fn wake(&mut self, dispatch: &mut Dispatch) -> DispatchStep {
     loop {
       self.now = dispatch.wake_at().expect("it wants to be woken");
@@ -126,7 +126,7 @@
   AttemptOutcome::Unknown { reason: "it broke".into() }
 }
 
-/// Where operators empty a data hall, nothing goes there, also where nobody else is left.
+/// Holds even if no other data hall is left.
 #[test]
 fn an_evacuated_data_hall_gets_no_tries() {
   let mut daemon = Daemon::new(4);
@@ -140,9 +140,9 @@
   assert!(matches!(step, DispatchStep::Refuse(AttemptOutcome::NotRun { .. })), "{step:?}");
 }
 
-/// A request that may be served in some regions only waits for none in others.
+/// Holds even if the allowed regions have no backend server.
 #[test]
-fn a_request_stays_in_the_regions_where_it_may_be_served() {
+fn a_request_is_served_only_in_its_allowed_regions() {
   let mut daemon = Daemon::new(4);
   daemon.endpoints[3].region = "elsewhere".parse().expect("a name");
   let bound = |region: &str| {
@@ -157,9 +157,9 @@
   assert!(matches!(step, DispatchStep::Refuse(AttemptOutcome::NotRun { .. })), "{step:?}");
 }
 
-/// An answer that its box gave a while ago may be lost, or wait in front of a full link: nobody can tell.
+/// The answer may be lost or queued in front of a full link, which the daemon can't tell apart.
 #[test]
-fn an_overdue_answer_is_asked_for_elsewhere_and_still_taken() {
+fn an_overdue_answer_is_hedged_and_still_accepted() {
   let mut daemon = Daemon::new(3);
   let mut dispatch = Dispatch::new(terms(true));
   let first = daemon.start(&mut dispatch);
@@ -167,13 +167,13 @@
   let second = ordered(daemon.handle(&mut dispatch, DispatchEvent::Overdue { id: first.id }));
   assert_ne!(second.endpoint.peer.box_id, first.endpoint.peer.box_id);
   let third = daemon.handle(&mut dispatch, DispatchEvent::Overdue { id: first.id });
-  assert!(matches!(third, DispatchStep::Wait), "two are under way at most: {third:?}");
+  assert!(matches!(third, DispatchStep::Wait), "at most two are in flight: {third:?}");
   let step = daemon.end(&mut dispatch, first.id, AttemptOutcome::Answered { status: 200 });
   assert!(matches!(step, DispatchStep::Answer { id } if id == first.id), "{step:?}");
 }
 
 #[test]
-fn an_overdue_answer_to_what_must_not_run_twice_is_waited_for() {
+fn a_request_that_must_not_run_twice_waits_for_an_overdue_answer() {
   let mut daemon = Daemon::new(3);
   let mut dispatch = Dispatch::new(terms(false));
   let first = daemon.start(&mut dispatch);
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn boxes_are_asked_before_a_request_waits_and_it_is_refused_where_all_are_full() {
+fn boxes_are_asked_before_a_request_queues_and_it_is_refused_if_all_are_full() {
   let mut daemon = Daemon::new(6);
   let mut dispatch = Dispatch::new(terms(true));
   let mut order = daemon.start(&mut dispatch);
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn callers_that_are_refused_together_do_not_return_together() {
+fn callers_that_are_refused_together_retry_at_different_times() {
   let mut daemon = Daemon::new(1);
   let mut returns = std::collections::BTreeSet::new();
   for _ in 0..50 {
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_not_sent_again_unless_it_may_run_twice() {
+fn a_request_that_may_have_run_is_retried_only_if_repeatable() {
   let mut daemon = Daemon::new(4);
   let mut dispatch = Dispatch::new(terms(false));
   let first = daemon.start(&mut dispatch);
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn a_failure_that_a_backend_server_answered_is_given_where_nobody_else_answers() {
+fn a_failure_answer_is_returned_if_no_other_try_is_answered() {
   let mut daemon = Daemon::new(3);
   let mut dispatch = Dispatch::new(Terms { attempts_max: 5, ..terms(true) });
   let first = daemon.start(&mut dispatch);
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn a_second_try_runs_beside_a_slow_first_and_the_first_answer_wins() {
+fn a_slow_try_is_hedged_and_the_first_answer_wins() {
   let mut daemon = Daemon::new(4);
   for index in 0..4 {
     let box_id = daemon.endpoints[index].peer.box_id.clone();
@@ -264,7 +264,7 @@
 }
 
 #[test]
-fn a_connection_may_take_a_part_of_the_time_until_the_answer_is_due() {
+fn the_connect_timeout_is_a_fraction_of_the_time_until_the_answer_is_due() {
   let mut daemon = Daemon::new(2);
   let mut dispatch = Dispatch::new(terms(true));
   assert_eq!(daemon.start(&mut dispatch).connect_ms, 50);
@@ -273,10 +273,10 @@
   assert_eq!(daemon.start(&mut dispatch).connect_ms, 500);
 }
 
-/// Requests were sent on connections that had gone silent, and nobody asked: a request that may not run twice
-/// then waited to its deadline, and its caller could not send it again.
+/// Requests were sent on dead connections without a check of their arrival. A request that must not
+/// run twice then waited until its deadline, and its caller couldn't retry.
 #[test]
-fn a_try_that_never_arrived_is_made_again_whatever_may_run_twice() {
+fn a_try_that_never_arrived_is_repeated_even_if_the_request_is_not_repeatable() {
   for repeatable in [false, true] {
     let mut daemon = Daemon::new(1);
     let mut dispatch = Dispatch::new(Terms { attempts_max: 1, ..terms(repeatable) });
@@ -287,12 +287,12 @@
     assert!(matches!(step, DispatchStep::Ask { id } if id == first.id), "{step:?}");
     let lost = DispatchEvent::NeverArrived { body_left: true, id: first.id };
     let second = ordered(daemon.handle(&mut dispatch, lost));
-    assert_eq!(second.endpoint, first.endpoint, "the box is as good as before");
+    assert_eq!(second.endpoint, first.endpoint, "the loss does not count against the box");
   }
 }
 
 #[test]
-fn a_try_that_never_arrived_ends_as_not_run_where_its_body_is_gone() {
+fn a_try_that_never_arrived_ends_as_not_run_if_its_body_is_gone() {
   let mut daemon = Daemon::new(3);
   let mut dispatch = Dispatch::new(terms(false));
   let first = daemon.start(&mut dispatch);
@@ -301,9 +301,9 @@
   assert!(matches!(step, DispatchStep::Refuse(AttemptOutcome::NotRun { .. })), "{step:?}");
 }
 
-/// A question costs bytes, and a box that works on a try was just heard of.
+/// Each question costs bytes, and a box that just answered one is known to work on the try.
 #[test]
-fn a_box_that_works_on_a_try_is_asked_for_it_less_and_less_often() {
+fn the_interval_between_arrival_checks_doubles() {
   let mut daemon = Daemon::new(1);
   let mut dispatch = Dispatch::new(Terms { attempts_max: 1, ..terms(false) });
   daemon.start(&mut dispatch);
@@ -317,9 +317,9 @@
   assert_eq!(asked_at, [150, 450, 1_050]);
 }
 
-/// The backend server beside the daemon has no connection that could be dead without the daemon's notice.
+/// No connection leads to the local backend server that could die unnoticed.
 #[test]
-fn the_own_box_is_not_asked() {
+fn the_own_box_gets_no_arrival_checks() {
   let mut daemon = Daemon::new(1);
   daemon.endpoints[0].peer.box_id = "own-box".parse().expect("a name");
   let mut dispatch = Dispatch::new(Terms { attempts_max: 1, ..terms(false) });
@@ -328,7 +328,7 @@
 }
 
 #[test]
-fn nobody_is_tried_where_nobody_takes_work() {
+fn a_request_is_refused_if_no_backend_server_accepts_requests() {
   let mut daemon = Daemon::new(2);
   daemon.endpoints.iter_mut().for_each(|one| one.state = EndpointState::Draining);
   let mut dispatch = Dispatch::new(terms(true));
@@ -353,7 +353,7 @@
   })
 }
 
-/// What a history saw of one request.
+/// The observed tries of one request in a history.
 #[derive(Default)]
 struct Seen {
   ended: Vec<(TryId, AttemptOutcome)>,
@@ -362,7 +362,7 @@
 }
 
 impl Seen {
-  /// Whether a try got to a backend server, or may have.
+  /// Counts the tries that reached a backend server or may have.
   fn arrived(&self) -> usize {
     self.ended.iter().filter(|(_, outcome)| outcome.arrived()).count()
   }
@@ -374,7 +374,7 @@
   }
 
   fn check_order(&mut self, order: &TryOrder, terms: &Terms) {
-    assert_eq!(order.endpoint.state, EndpointState::Live, "sent to one that takes no work");
+    assert_eq!(order.endpoint.state, EndpointState::Live, "sent to one that accepts no requests");
     assert!(self.arrived() < terms.attempts_max as usize, "one backend server too many");
     assert!(terms.repeatable || !self.may_have_run(), "sent again though it may have run");
     assert!(terms.repeatable || self.running.is_empty(), "sent to two at once");
@@ -389,7 +389,7 @@
   }
 
   fn check_refusal(&self, outcome: &AttemptOutcome, terms: &Terms) {
-    assert!(self.running.is_empty(), "refused while a try was under way");
+    assert!(self.running.is_empty(), "refused while a try was in flight");
     let says_not_run = matches!(outcome, AttemptOutcome::NotRun { .. });
     let is_true = terms.repeatable || !self.may_have_run();
     assert!(!says_not_run || is_true, "said not to have run though it may have");
@@ -397,7 +397,7 @@
 }
 
 #[test]
-fn every_request_ends_once_and_is_never_run_twice_without_leave() {
+fn every_request_ends_once_and_runs_twice_only_if_repeatable() {
   let (mut answers, mut refusals) = (0, 0);
   let (mut hedged, mut lost, mut overdue) = (0, 0, 0);
   histories(HISTORIES, |u| {
--- a/tests/patience.rs
+++ b/tests/patience.rs
@@ -1,4 +1,4 @@
-//! How long the store's client waits, by what answers lately took.
+//! Tests the adaptive timeouts of the store's client, which follow the latency of recent answers.
 
 use ferryyoke::{
   store::{CallKind, Patience},
@@ -7,7 +7,7 @@
 
 const FLOOR_MS: u64 = 1_000;
 
-/// Calls made one after the other, with the limit of each, until one is answered in time.
+/// Makes calls until one is answered within its timeout. Returns the timeout of each call.
 fn tries(patience: &mut Patience, now: &mut Time, took_ms: Option<u64>) -> Vec<u64> {
   let mut limits = Vec::new();
   for _ in 0..10 {
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_fast_store_has_the_floor() {
+fn a_fast_store_gets_the_minimum_timeout() {
   let (mut patience, mut now) = (Patience::new(FLOOR_MS), Time(0));
   for _ in 0..20 {
     assert_eq!(tries(&mut patience, &mut now, Some(5)), [FLOOR_MS]);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_store_that_answers_in_three_seconds_is_served() {
+fn the_timeout_rises_for_a_store_that_takes_three_seconds() {
   let (mut patience, mut now) = (Patience::new(FLOOR_MS), Time(0));
   assert_eq!(tries(&mut patience, &mut now, Some(3_000)).len(), 2);
   for _ in 0..5 {
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn the_limit_falls_back_within_a_few_fast_answers() {
+fn the_timeout_falls_within_a_few_fast_answers() {
   let (mut patience, mut now) = (Patience::new(FLOOR_MS), Time(0));
   tries(&mut patience, &mut now, Some(3_000));
   for _ in 0..3 {
@@ -60,15 +60,16 @@
   assert_eq!(patience.limit_ms(now, CallKind::Read), FLOOR_MS);
 }
 
-/// A box's entry must be back within two seconds of the end of an outage.
+/// A box's entry must be restored within two seconds after an outage ends, so the timeout must not
+/// grow.
 #[test]
-fn a_silent_store_is_asked_anew_as_often_as_ever() {
+fn timeouts_do_not_grow_while_the_store_is_silent() {
   let (mut patience, mut now) = (Patience::new(FLOOR_MS), Time(0));
   assert_eq!(tries(&mut patience, &mut now, None), [FLOOR_MS; 10]);
 }
 
 #[test]
-fn a_slow_store_that_falls_silent_is_noticed_sooner_from_call_to_call() {
+fn the_timeout_halves_with_each_call_after_a_slow_store_falls_silent() {
   let (mut patience, mut now) = (Patience::new(FLOOR_MS), Time(0));
   tries(&mut patience, &mut now, Some(3_000));
   let limits = tries(&mut patience, &mut now, None);
@@ -76,7 +77,7 @@
 }
 
 #[test]
-fn a_call_given_up_before_the_last_answer_says_nothing_new() {
+fn a_call_that_timed_out_before_the_last_answer_changes_nothing() {
   let (mut patience, now) = (Patience::new(FLOOR_MS), Time(0));
   patience.answered(now, CallKind::Read, 1_900);
   patience.given_up(now, CallKind::Read, FLOOR_MS);
@@ -84,14 +85,14 @@
 }
 
 #[test]
-fn no_limit_passes_the_cap() {
+fn no_timeout_exceeds_the_cap() {
   let (mut patience, now) = (Patience::new(FLOOR_MS), Time(0));
   patience.answered(now, CallKind::Read, 60_000);
   assert_eq!(patience.limit_ms(now, CallKind::Read), patience.cap_ms());
 }
 
 #[test]
-fn a_fast_answer_among_slow_ones_does_not_cut_off_the_next() {
+fn one_fast_answer_among_slow_ones_does_not_cut_the_timeout() {
   let (mut patience, now) = (Patience::new(FLOOR_MS), Time(0));
   for _ in 0..5 {
     patience.answered(now, CallKind::Read, 1_900);
@@ -101,7 +102,7 @@
 }
 
 #[test]
-fn what_one_kind_of_call_found_out_spares_the_others_a_call_in_vain() {
+fn a_slow_answer_to_one_kind_of_call_raises_the_timeout_of_all_kinds() {
   let (mut patience, now) = (Patience::new(FLOOR_MS), Time(0));
   patience.answered(now, CallKind::Lease, 1_900);
   for kind in [CallKind::Read, CallKind::Watch, CallKind::Write] {
@@ -110,7 +111,7 @@
 }
 
 #[test]
-fn a_slow_kind_of_call_keeps_its_limit_while_others_are_answered_fast() {
+fn a_slow_kind_of_call_keeps_its_timeout_while_others_are_fast() {
   let (mut patience, now) = (Patience::new(FLOOR_MS), Time(0));
   patience.answered(now, CallKind::Read, 1_900);
   for _ in 0..4 {
@@ -121,7 +122,7 @@
 }
 
 #[test]
-fn an_answer_of_long_ago_says_nothing() {
+fn an_old_answer_does_not_affect_the_timeout() {
   let (mut patience, now) = (Patience::new(FLOOR_MS), Time(0));
   patience.answered(now, CallKind::Write, 1_900);
   assert_eq!(patience.limit_ms(now.after(60_000), CallKind::Write), FLOOR_MS);
--- a/tests/request_decisions.rs
+++ b/tests/request_decisions.rs
@@ -1,4 +1,4 @@
-//! Decisions about requests beside routing and balancing: shares, ranks, links, retries, reports.
+//! Tests traffic splits, the limiter, due times, the link budget and the retry budget.
 
 use {
   ferryyoke::{
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn shares_hold_over_any_stretch_of_requests_on_any_daemon() {
+fn each_daemon_splits_any_run_of_requests_by_weight() {
   let shares = [("a", 90), ("b", 9), ("c", 1), ("never", 0)]
     .map(|(name, weight)| WeightedService { service: service(name), weight });
   for seed in 0..50 {
@@ -43,9 +43,9 @@
   }
 }
 
-/// Each of many daemons sees a few requests of a route only, and together they share them by weight.
+/// Holds even if each daemon handles only a few requests of a route.
 #[test]
-fn shares_hold_over_the_first_requests_of_many_daemons() {
+fn many_daemons_together_split_their_first_requests_by_weight() {
   let shares =
     [("a", 70), ("b", 30)].map(|(name, weight)| WeightedService { service: service(name), weight });
   for requests in 1..=4 {
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_route_without_weights_has_no_shares() {
+fn a_route_without_weights_gets_no_service() {
   let mut rng = ChaCha8Rng::seed_from_u64(1);
   let route = "route".parse().expect("a name");
   assert_eq!(Splitter::default().next(&route, &[], &mut rng), None);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn the_higher_rank_goes_first_and_then_the_newest_that_can_be_in_time() {
+fn the_limiter_admits_by_rank_and_then_the_newest_request_that_can_be_in_time() {
   let mut limiter = Limiter::new(1, 10);
   limiter.arrive(Time(0), Ticket(0), demand(2, 10));
   limiter.arrive(Time(0), Ticket(1), demand(2, 900));
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn nobody_waits_beyond_his_patience() {
+fn a_request_is_shed_if_it_would_exceed_its_max_wait() {
   let mut limiter = Limiter::new(1, 10);
   limiter.arrive(Time(0), Ticket(0), demand(1, 10));
   limiter.leave(Time(100), Ticket(0));
@@ -103,9 +103,10 @@
   assert!(matches!(arrival, Arrival::Shed { retry_after_ms } if retry_after_ms > 5), "{arrival:?}");
 }
 
-/// Requests of a lower rank wait longer than those ahead of them take, for others come and go first.
+/// Later requests of a higher rank overtake those of a lower rank, which then wait longer than the
+/// queue ahead of them suggests.
 #[test]
-fn waits_are_expected_as_they_came_lately() {
+fn expected_waits_follow_recent_waits() {
   let mut limiter = Limiter::new(1, 10);
   limiter.arrive(Time(0), Ticket(0), demand(0, 10));
   limiter.leave(Time(100), Ticket(0));
@@ -126,7 +127,7 @@
 }
 
 #[test]
-fn more_slots_admit_who_waits() {
+fn added_slots_admit_queued_requests() {
   let mut limiter = Limiter::new(1, 10);
   limiter.arrive(Time(0), Ticket(0), demand(1, 10));
   limiter.arrive(Time(0), Ticket(1), demand(1, 10));
@@ -135,7 +136,7 @@
 }
 
 #[test]
-fn requests_wait_while_they_can_be_in_time_and_calls_longer() {
+fn calls_of_running_requests_may_wait_longer_than_requests_of_callers() {
   let handling =
     Handling { priority: 2, target_ms: Some(400), timeout_ms: Some(1_200), ..Handling::default() };
   let own = Urgency::of(Time(1_000), Time(2_200), &handling, handling.priority, false, 0);
@@ -147,9 +148,9 @@
   assert!(short.patience <= Time(1_010) && short.due <= Time(1_010), "{short:?}");
 }
 
-/// Runs take 200 ms here, and one that has less than half of that left is late anyway.
+/// Runs take 200 ms; a request with less than half of that left counts as late.
 #[test]
-fn a_request_waits_only_while_its_answer_can_be_in_time() {
+fn a_request_queues_only_while_its_answer_can_be_in_time() {
   let mut limiter = Limiter::new(1, 10);
   let mut now = Time(0);
   for round in 0..60 {
@@ -169,9 +170,9 @@
   assert!(matches!(arrival, Arrival::Shed { .. }), "{arrival:?}");
 }
 
-/// Callers count from their first try, whatever they were told to wait in between.
+/// The due time counts from the caller's first try, including the `Retry-After` waits in between.
 #[test]
-fn a_caller_that_comes_back_is_due_from_its_first_try() {
+fn the_due_time_of_a_retry_counts_from_the_first_try() {
   let handling =
     Handling { priority: 2, target_ms: Some(400), timeout_ms: Some(1_200), ..Handling::default() };
   let early = Urgency::of(Time(1_000), Time(2_000), &handling, handling.priority, false, 100);
@@ -182,13 +183,13 @@
 }
 
 #[test]
-fn a_caller_that_comes_back_is_known_by_the_time_it_has_left() {
+fn a_retry_of_a_caller_is_recognised_by_its_remaining_time() {
   let route: RouteName = "route".parse().expect("a name");
   let mut times = CallerTimes::default();
   let mut wrong = 0;
   for round in 0..2_000 {
     assert_eq!(times.note(&route, 1_200), 0, "a first try in round {round}");
-    // Two more come back for each that comes first, each with another time left.
+    // Two retries follow each first try, with varying remaining times.
     for _ in 0..2 {
       let spent_ms = 20 + (round * 7) % 900;
       wrong += u32::from(times.note(&route, 1_200 - spent_ms) != spent_ms && round > 20);
@@ -198,7 +199,7 @@
 }
 
 #[test]
-fn callers_with_two_usual_times_all_come_first() {
+fn first_tries_with_two_usual_timeouts_are_recognised() {
   let route: RouteName = "route".parse().expect("a name");
   let mut times = CallerTimes::default();
   for _ in 0..50 {
@@ -210,7 +211,7 @@
 }
 
 #[test]
-fn a_new_usual_time_is_noticed() {
+fn a_change_of_the_usual_timeout_is_recognised() {
   let route: RouteName = "route".parse().expect("a name");
   let mut times = CallerTimes::default();
   for _ in 0..1_000 {
@@ -223,7 +224,7 @@
 }
 
 #[test]
-fn calls_are_known_by_the_request_that_needs_them() {
+fn calls_are_recognised_by_the_id_of_the_running_request() {
   let mut at_work = AtWork::default();
   at_work.begin(&id("5cbe2b43"));
   at_work.begin(&id("5cbe2b43"));
@@ -237,7 +238,7 @@
 }
 
 #[test]
-fn a_failed_call_is_known_to_the_request_that_needs_it() {
+fn a_failed_call_is_recorded_for_its_running_request() {
   let mut at_work = AtWork::default();
   at_work.begin(&id("5cbe2b43"));
   assert!(!at_work.has_failed_call(&id("5cbe2b43")));
@@ -251,7 +252,7 @@
 }
 
 #[test]
-fn bodies_fill_a_part_of_the_link_and_no_more() {
+fn large_bodies_fill_only_a_fraction_of_the_link() {
   let mut link = LinkBudget::new(10.0);
   let mut taken = 0;
   for now in 0..10_000 {
@@ -271,12 +272,12 @@
   let first = (0..100).take_while(|_| link.take(Time(0), None, 100, 0.0).is_ok()).count();
   assert!((2..=4).contains(&first), "{first} bodies at once");
   let refused = link.take(Time(0), None, 100, 0.0).expect_err("the link is taken");
-  assert!(link.take(Time(refused), None, 100, 0.0).is_ok(), "the time to come back holds");
+  assert!(link.take(Time(refused), None, 100, 0.0).is_ok(), "accepted after the returned time");
 }
 
-/// However many daemons there are, the fleet stays below what it may spend in any window.
+/// Holds for any number of daemons.
 #[test]
-fn retries_of_all_daemons_stay_below_the_bound_of_the_fleet() {
+fn retries_of_all_daemons_stay_within_the_bound_of_the_fleet() {
   for daemons in [1, 5, 13, 74, 300] {
     let (ratio, extra, requests) = (0.2, 62_u64, 2_000_u64);
     let limits = RetryLimits::share(ratio, extra, daemons);
@@ -292,7 +293,7 @@
         }
       }
     }
-    // A daemon can always spend one, or it could never retry; beyond that the bound holds.
+    // Each daemon may always spend one retry, as it could never retry otherwise.
     let bound = requests / 5 + extra.max(daemons as u64);
     assert!(spent <= bound, "{spent} retries of {daemons} daemons, and {bound} may be");
   }
--- a/tests/requests_fuzz.rs
+++ b/tests/requests_fuzz.rs
@@ -1,4 +1,4 @@
-//! Routing, choice, limits and retries against simple models.
+//! Fuzz tests of routing, balancing, the limiter and the retry budget against simple models.
 
 mod support;
 
@@ -20,7 +20,7 @@
   support::histories,
 };
 
-/// Histories of each fuzz test.
+/// Number of random histories in each fuzz test.
 const HISTORIES: u64 = 1_000;
 
 const PATHS: [&str; 8] = ["/", "/a", "/a/b", "/a/bc", "/ab", "/a/b/c", "/b", "/ab/"];
@@ -40,7 +40,7 @@
   })
 }
 
-/// What the router should find, by looking at every route.
+/// Finds the expected route by a scan of all routes.
 fn model<'a>(
   routes: &'a BTreeMap<String, Route>,
   method: &Method,
@@ -131,14 +131,17 @@
       assert!(running.len() <= slots, "{} run in {slots} slots", running.len());
       assert!(waiting.len() <= queue_max);
       assert_eq!((limiter.running(), limiter.waiting()), (running.len(), waiting.len()));
-      assert!(waiting.is_empty() || running.len() == slots, "one waits beside a free slot");
+      assert!(
+        waiting.is_empty() || running.len() == slots,
+        "a request is queued although a slot is free"
+      );
     }
     Ok(())
   });
   assert!(queued > 1_000, "only {queued} requests waited");
 }
 
-/// A class that floods the queue does not keep the others from their slots.
+/// A class with many queued requests doesn't starve the others.
 #[test]
 fn classes_share_slots_fairly() {
   let mut limiter = Limiter::new(2, 100);
@@ -152,7 +155,7 @@
 }
 
 #[test]
-fn the_newest_of_a_class_goes_first_and_what_is_overdue_last() {
+fn the_newest_request_of_a_class_goes_first_and_overdue_ones_last() {
   let mut limiter = Limiter::new(1, 10);
   let class = || "class".parse().expect("a name");
   let overdue = |at: u64| Demand { due: Time(at), ..Demand::new(class(), Time(1_000)) };
@@ -255,7 +258,7 @@
   });
 }
 
-/// Whatever fails, retries stay within a tenth of the requests and what was saved up.
+/// Holds even if every request fails: retries stay within a tenth of the requests plus the savings.
 #[test]
 fn retries_stay_within_their_budget() {
   let mut budget = RetryBudget::default();
