--- a/src/requests/mod.rs
+++ b/src/requests/mod.rs
@@ -25,6 +25,7 @@
   caller_class::CallerClass,
   caller_times::CallerTimes,
   claim::Claim,
+  claim_outcome::ClaimOutcome,
   claim_record::ClaimRecord,
   claim_state::ClaimState,
   claim_step::ClaimStep,
@@ -35,6 +36,7 @@
   crash_detector::{CrashDetector, RunId},
   demand::Demand,
   dispatch::Dispatch,
+  dispatch_context::DispatchContext,
   dispatch_event::DispatchEvent,
   dispatch_step::{DispatchStep, TryOrder},
   limiter::Limiter,
@@ -42,20 +44,18 @@
   link_queue::LinkQueue,
   open_exchanges::{ExchangeId, OpenAnswer, OpenExchange, OpenExchanges, Sender},
   quarantine::{Quarantine, QuarantineChange, Suspect},
-  record_book::RecordBook,
+  quarantine_status::QuarantineStatus,
+  request_history::RequestHistory,
   request_key::RequestKey,
+  request_profile::RequestProfile,
   request_record::RequestRecord,
   retry_budget::{RetryBudget, RetryLimits},
   route_match::RouteMatch,
   router::Router,
   run_end::RunEnd,
-  settlement::Settlement,
+  selection_criteria::SelectionCriteria,
   splitter::Splitter,
-  stakes::Stakes,
-  standing::Standing,
   stop_limit::StopLimit,
-  surroundings::Surroundings,
-  terms::Terms,
   ticket::Ticket,
   try_id::TryId,
   urgency::Urgency,
@@ -75,6 +75,7 @@
 mod caller_class;
 mod caller_times;
 mod claim;
+mod claim_outcome;
 mod claim_record;
 mod claim_state;
 mod claim_step;
@@ -85,6 +86,7 @@
 mod crash_detector;
 mod demand;
 mod dispatch;
+mod dispatch_context;
 mod dispatch_event;
 mod dispatch_step;
 mod limiter;
@@ -92,20 +94,18 @@
 mod link_queue;
 mod open_exchanges;
 mod quarantine;
-mod record_book;
+mod quarantine_status;
+mod request_history;
 mod request_key;
+mod request_profile;
 mod request_record;
 mod retry_budget;
 mod route_match;
 mod router;
 mod run_end;
-mod settlement;
+mod selection_criteria;
 mod splitter;
-mod stakes;
-mod standing;
 mod stop_limit;
-mod surroundings;
-mod terms;
 mod ticket;
 mod try_id;
 mod urgency;
