--- a/src/distribution/follower/directory.rs
+++ b/src/distribution/follower/directory.rs
@@ -13,19 +13,19 @@
   const DIRECTORY_FORMING_MS: u64 = 1_000;
   /// Interval between the slots of two watchers to read the directory, in milliseconds. The first
   /// watcher to see that an entry is gone notifies the fleet.
-  const DIRECTORY_TURN_MS: u64 = 2_000;
+  const DIRECTORY_SLOT_MS: u64 = 2_000;
   /// Milliseconds added to the base interval per box, so that the bytes read stay bounded.
   const DIRECTORY_PER_BOX_MS: u64 = 20;
   /// Interval between two reads, in milliseconds, by a daemon whose neighbours report changes. It
   /// is long because a read transfers the entries of the whole fleet; a lasting fingerprint
   /// mismatch triggers a read at once.
-  const DIRECTORY_REST_MS: u64 = 60_000;
+  const DIRECTORY_IDLE_MS: u64 = 60_000;
   /// Number of consecutive heartbeats of a neighbour with a different fingerprint of the known
   /// boxes after which the directory is read. Fewer mismatches occur while updates are in transit.
   const MISMATCHES_MAX: u32 = 3;
   /// Time, in milliseconds, for which a box may be known from links only: it writes its entry once
   /// it accepts work.
-  const NEWCOMER_MS: u64 = 10_000;
+  const UNLISTED_MAX_MS: u64 = 10_000;
   /// Time, in milliseconds, after which a box whose entry disappeared from the store counts as
   /// gone. The entry may have lapsed in an outage, and then its daemon writes it again within two
   /// seconds.
@@ -47,16 +47,16 @@
   /// Milliseconds until the next read.
   fn directory_pause_ms(&mut self) -> u64 {
     let boxes = self.endpoints.present().count() as u64;
-    let is_told = matches!(self.watch, WatchPhase::Resting { .. }) && self.lapsed.is_empty();
+    let is_informed = matches!(self.watch, WatchPhase::Idle { .. }) && self.lapsed.is_empty();
     let is_new = self.now.time.since_ms(self.started_at) < Self::DIRECTORY_FIRST_MS;
     let base_ms = if is_new {
       Self::DIRECTORY_FIRST_MS
     } else if self.is_forming() {
       return self.forming_pause_ms();
     } else if self.is_watcher() && !self.is_settling() && self.lapsed.is_empty() {
-      return self.until_turn_ms(Self::DIRECTORY_TURN_MS);
-    } else if is_told {
-      Self::DIRECTORY_REST_MS
+      return self.until_slot_ms(Self::DIRECTORY_SLOT_MS);
+    } else if is_informed {
+      Self::DIRECTORY_IDLE_MS
     } else {
       Self::DIRECTORY_MS + Self::DIRECTORY_PER_BOX_MS * boxes
     };
@@ -87,13 +87,13 @@
       let is_first = self.directory_revision == Revision::default();
       self.directory_revision = *revision;
       self.directory_read(entries, *revision);
-      self.note_fleet(is_first);
+      self.detect_formation(is_first);
     }
   }
 
   /// Considers the fleet formed if it existed before this daemon or did not grow since the last
   /// read.
-  fn note_fleet(&mut self, is_first: bool) {
+  fn detect_formation(&mut self, is_first: bool) {
     let others = self.endpoints.present().count().saturating_sub(1);
     if others > 0 && (is_first || others == self.others_known) {
       self.formed_at.get_or_insert(self.now.time);
@@ -114,11 +114,11 @@
       let box_id = keys::endpoint_of(&entry.key);
       if let Some(box_id) = &box_id {
         self.listed.insert(box_id.clone());
-        self.newcomers.remove(box_id);
+        self.unlisted.remove(box_id);
         present.insert(box_id.clone());
       }
       match read_endpoint(box_id.as_ref(), &entry.value, self.now.unix_ms) {
-        Ok(endpoint) if self.take_news(&endpoint) => fresh.push(endpoint),
+        Ok(endpoint) if self.merge_endpoint(&endpoint) => fresh.push(endpoint),
         Ok(_) => {}
         Err(reason) => {
           let (key, revision) = (entry.key.clone(), entry.revision);
@@ -140,7 +140,7 @@
     for box_id in missing {
       self.note_missing(box_id, revision);
     }
-    self.news_taken(&fresh, None);
+    self.endpoints_merged(&fresh, None);
   }
 
   /// Handles an entry that another writer overwrote. Its box is considered lost until it publishes
@@ -176,8 +176,8 @@
     }
     let now = self.now.time;
     if !self.listed.contains(&box_id) {
-      let since = *self.newcomers.entry(box_id.clone()).or_insert(now);
-      if now.since_ms(since) < Self::NEWCOMER_MS {
+      let since = *self.unlisted.entry(box_id.clone()).or_insert(now);
+      if now.since_ms(since) < Self::UNLISTED_MAX_MS {
         return;
       }
     }
@@ -185,7 +185,7 @@
     let is_still_missing =
       self.lapsed.get(&box_id).is_some_and(|since| now.since_ms(*since) >= Self::REWRITTEN_MS);
     if is_still_missing && self.is_linked_downstream(&box_id) {
-      self.keep_entry_of(&box_id);
+      self.write_entry_for(&box_id);
     }
     if self.lapsed.is_empty() {
       self.directory_at = self.directory_at.min(now.after(Self::REWRITTEN_MS));
@@ -195,7 +195,7 @@
 
   /// Compares the fingerprint of a neighbour's known boxes with the own one. If they stay
   /// different, one of the two missed an update.
-  pub(super) fn compare_boxes(&mut self, link: LinkId, fingerprint: u32) {
+  pub(super) fn compare_fingerprints(&mut self, link: LinkId, fingerprint: u32) {
     let differs = fingerprint != self.endpoints.fingerprint();
     let Some(known) = self.links.get_mut(&link) else {
       return;
@@ -223,7 +223,7 @@
     for box_id in over {
       self.lapsed.remove(&box_id);
       self.listed.remove(&box_id);
-      self.newcomers.remove(&box_id);
+      self.unlisted.remove(&box_id);
       let Some(mut endpoint) = self.endpoints.get(&box_id).cloned() else {
         continue;
       };
@@ -233,11 +233,11 @@
         lost.push(endpoint);
       }
     }
-    self.news_taken(&lost, None);
+    self.endpoints_merged(&lost, None);
   }
 
   /// Writes the entry of a box that is alive but that the store does not serve.
-  pub(super) fn keep_entry_of(&mut self, box_id: &BoxId) {
+  pub(super) fn write_entry_for(&mut self, box_id: &BoxId) {
     let Some(lease) = self.registration.lease().filter(|_| self.failing_since.is_none()) else {
       return;
     };
@@ -245,7 +245,7 @@
       return;
     };
     let value = to_json(endpoint);
-    self.kept_entries.insert(box_id.clone());
+    self.entries_for_others.insert(box_id.clone());
     self.log(format!("writing the entry of box {box_id} for it: it is alive, but has no entry"));
     let key = keys::endpoint(box_id);
     self.call_store(StoreRequest::Put { key, lease: Some(lease), value });
--- a/src/distribution/follower/era.rs
+++ b/src/distribution/follower/era.rs
@@ -36,7 +36,7 @@
     self.directory_call = None;
     self.directory_at = now.after(Self::ENTRIES_BACK_MS + spread_ms);
     self.lapsed.clear();
-    self.kept_entries.clear();
+    self.entries_for_others.clear();
     self.neighbours_revision = None;
     self.failing_since = None;
     self.rollout_calls.clear();
@@ -45,9 +45,9 @@
     if self.must_watch() {
       self.read_configuration(false);
     } else {
-      self.watch = WatchPhase::Resting { after: None };
+      self.watch = WatchPhase::Idle { after: None };
     }
     // Informs neighbours at once, including those that cannot reach the store.
-    self.send_beats();
+    self.send_heartbeats();
   }
 }
--- a/src/distribution/follower/asking.rs
+++ b/src/distribution/follower/inquiries.rs
@@ -2,15 +2,15 @@
 
 /// Answers operators' inquiries from what this daemon itself holds.
 impl Follower {
-  pub(super) fn asked(&mut self, question: &Question, token: u64) {
-    self.inquire(Asker::Operator(token), question);
+  pub(super) fn operator_asked(&mut self, question: &Question, token: u64) {
+    self.start_inquiry(Asker::Operator(token), question);
   }
 
   pub(super) fn neighbour_asked(&mut self, link: LinkId, id: InquiryId, question: &Question) {
-    self.inquire(Asker::Neighbour(link, id), question);
+    self.start_inquiry(Asker::Neighbour(link, id), question);
   }
 
-  fn inquire(&mut self, asker: Asker, question: &Question) {
+  fn start_inquiry(&mut self, asker: Asker, question: &Question) {
     let consulting = matches!(question, Question::Request { .. });
     let own = self.own_reports(question);
     let now = self.now.time;
--- a/src/distribution/follower/mod.rs
+++ b/src/distribution/follower/mod.rs
@@ -3,20 +3,20 @@
 use super::*;
 
 use {
-  self::{news::UntoldNews, returning::Returning},
+  self::{endpoint_updates::UnsentEndpoint, reconnects::Reconnect},
   super::{inquiry::Asker, watchers::Watchers},
 };
 
-mod asking;
 mod directory;
+mod endpoint_updates;
 mod era;
-mod evacuating;
-mod following;
+mod evacuations;
+mod inquiries;
 mod neighbours;
-mod news;
-mod returning;
+mod reconnects;
 mod rollouts;
-mod silence;
+mod silent_watches;
+mod store_watch;
 mod updates;
 
 /// Keeps a daemon's configuration and its view of the fleet's boxes up to date where the platform's
@@ -33,7 +33,6 @@
   actions: Vec<Action>,
   /// Boxes to which no link is opened until the given time, because the last link failed.
   avoided: BTreeMap<BoxId, Time>,
-  beat_at: Time,
   /// When a neighbour was first seen to hold a newer version than this daemon.
   behind_since: Option<Time>,
   catalog: Catalog,
@@ -52,52 +51,45 @@
   /// The store's revision at the newest read of the directory. Older answers are ignored.
   directory_revision: Revision,
   endpoints: EndpointTable,
+  /// When changed endpoints were last sent out.
+  endpoints_sent_at: Time,
+  /// Boxes whose entry this daemon writes to the store on their behalf.
+  entries_for_others: BTreeSet<BoxId>,
   /// The newest era of the store that is known; `None` before its first answer.
   era: Option<Era>,
   evacuations: Evacuations,
-  /// Observations of backend servers' answers that wait to be forwarded, with the link they came
-  /// from.
-  evidence: Vec<(Option<LinkId>, Evidence)>,
   /// When the store stopped answering this daemon; `None` while it answers.
   failing_since: Option<Time>,
   /// When this daemon first considered the fleet formed.
   formed_at: Option<Time>,
-  /// Number of other boxes known at the last read of the directory.
-  others_known: usize,
+  heartbeat_sent_at: Time,
   identity: Identity,
   inquiries: Inquiries,
-  last_call: u64,
   /// Boxes whose entry disappeared from the store, with the time at which that was noticed.
   lapsed: BTreeMap<BoxId, Time>,
+  last_call: u64,
   links: BTreeMap<LinkId, Link>,
   /// Boxes whose entry this daemon has seen in the store.
   listed: BTreeSet<BoxId>,
-  /// The newest version that this daemon was notified of, held or not.
-  newest_known: Version,
-  /// Boxes known from links only, without an entry in the store, with the time at which that was
-  /// noticed.
-  newcomers: BTreeMap<BoxId, Time>,
   /// The newest revision up to which a neighbour that holds no newer version has seen all changes.
   neighbours_revision: Option<Revision>,
-  /// When changed endpoints were last sent out.
-  news_told_at: Time,
+  /// The newest version that this daemon was notified of, held or not.
+  newest_known: Version,
   now: Moment,
-  /// When a neighbour brought a change that the pending watch has not reported yet.
-  outrun_since: Option<Time>,
+  /// Number of other boxes known at the last read of the directory.
+  others_known: usize,
   own: Endpoint,
+  /// Boxes whose links ended unexpectedly.
+  reconnects: BTreeMap<BoxId, Reconnect>,
   /// The version from the store that was refused last; `None` once that version or a later one is
   /// held. Meanwhile only neighbours can bring this daemon forward.
   refused: Option<RefusedVersion>,
   registration: Registration,
-  /// Boxes whose links ended unexpectedly.
-  returning: BTreeMap<BoxId, Returning>,
   rng: ChaCha8Rng,
   /// Pending store calls for roll-outs, with their services.
   rollout_calls: BTreeMap<u64, ServiceName>,
   rollouts: Rollouts,
   source: Arc<dyn Source>,
-  /// Boxes whose entry this daemon writes to the store on their behalf.
-  kept_entries: BTreeSet<BoxId>,
   started_at: Time,
   /// When the last tick was handled. After a pause of the process, other events may be handled
   /// before the next tick.
@@ -105,12 +97,20 @@
   /// The versions and their shares last published to this box's proxies; `None` before the fleet is
   /// known.
   traffic: Option<BTreeMap<ServiceName, Traffic>>,
-  /// The newest states of endpoints that have been merged but not sent out yet.
-  untold_news: BTreeMap<BoxId, UntoldNews>,
+  /// Boxes known from links only, without an entry in the store, with the time at which that was
+  /// noticed.
+  unlisted: BTreeMap<BoxId, Time>,
   /// Entries that could not be decoded at the last read of the directory.
   unreadable: BTreeMap<Key, UnreadableEntry>,
+  /// The newest states of endpoints that have been merged but not sent out yet.
+  unsent_endpoints: BTreeMap<BoxId, UnsentEndpoint>,
+  /// Observations of backend servers' answers that wait to be forwarded, with the link they came
+  /// from.
+  unsent_evidence: Vec<(Option<LinkId>, Evidence)>,
   watch: WatchPhase,
   watch_failures: u32,
+  /// When a neighbour brought a change that the pending watch has not reported yet.
+  watch_lagging_since: Option<Time>,
   watchers: Watchers,
 }
 
@@ -136,18 +136,18 @@
     until: Time,
   },
   /// Changes have just arrived; further ones are batched into the next call.
-  Gathering {
+  Batching {
     after: Revision,
     until: Time,
   },
+  /// Neighbours report changes. A watch resumes from `after`, if known.
+  Idle {
+    after: Option<Revision>,
+  },
   Listing {
     call: u64,
     /// Whether the answer may be some seconds old.
-    may_be_old: bool,
-  },
-  /// Neighbours report changes. A watch resumes from `after`, if known.
-  Resting {
-    after: Option<Revision>,
+    may_be_stale: bool,
   },
   Watching {
     after: Revision,
@@ -158,7 +158,7 @@
 impl Follower {
   /// Gap between two ticks, in milliseconds, that counts as a pause of the process: 20 missed
   /// ticks.
-  const FROZEN_MS: u64 = 20 * Distributor::TICK_MS;
+  const PROCESS_PAUSE_MIN_MS: u64 = 20 * Distributor::TICK_MS;
 
   /// Creates a daemon that holds no configuration yet.
   pub fn new(now: Moment, seed: u64, identity: Identity, source: Arc<dyn Source>) -> Self {
@@ -169,7 +169,6 @@
     Self {
       actions: Vec::new(),
       avoided: BTreeMap::new(),
-      beat_at: now.time,
       behind_since: None,
       catalog: Catalog::default(),
       changed_services: BTreeSet::new(),
@@ -180,53 +179,54 @@
       directory_call: None,
       directory_revision: Revision::default(),
       endpoints,
+      endpoints_sent_at: Time::default(),
+      entries_for_others: BTreeSet::new(),
       era: None,
       evacuations: Evacuations::default(),
-      evidence: Vec::new(),
       failing_since: None,
       formed_at: None,
+      heartbeat_sent_at: now.time,
       identity,
       inquiries: Inquiries::default(),
-      last_call: 0,
       lapsed: BTreeMap::new(),
+      last_call: 0,
       links: BTreeMap::new(),
       listed: BTreeSet::new(),
       neighbours_revision: None,
-      newcomers: BTreeMap::new(),
       newest_known: Version(0),
-      news_told_at: Time::default(),
       now,
       others_known: 0,
-      outrun_since: None,
       own,
+      reconnects: BTreeMap::new(),
       refused: None,
       registration: Registration::default(),
-      returning: BTreeMap::new(),
       rng: ChaCha8Rng::seed_from_u64(seed),
       rollout_calls: BTreeMap::new(),
       rollouts: Rollouts::default(),
       source,
-      kept_entries: BTreeSet::new(),
       started_at: now.time,
       ticked_at: now.time,
       traffic: None,
+      unlisted: BTreeMap::new(),
       unreadable: BTreeMap::new(),
-      untold_news: BTreeMap::new(),
+      unsent_endpoints: BTreeMap::new(),
+      unsent_evidence: Vec::new(),
       watch: WatchPhase::Backoff { after: None, until: now.time },
       watch_failures: 0,
+      watch_lagging_since: None,
       watchers,
     }
   }
 
   fn tick(&mut self) {
-    let stood_still_ms = self.now.time.since_ms(self.ticked_at);
+    let paused_ms = self.now.time.since_ms(self.ticked_at);
     self.ticked_at = self.now.time;
-    if stood_still_ms > Self::FROZEN_MS {
-      self.log(format!("the process was paused for {stood_still_ms} ms: querying the store again"));
+    if paused_ms > Self::PROCESS_PAUSE_MIN_MS {
+      self.log(format!("the process was paused for {paused_ms} ms: querying the store again"));
       self.confirmed_at = None;
       self.registration.wake();
       self.directory_at = self.now.time;
-      self.watch = WatchPhase::Resting { after: self.watch_revision() };
+      self.watch = WatchPhase::Idle { after: self.watch_revision() };
     }
     if self.now.time.since_ms(self.started_at) >= Self::FORMING_MS {
       self.formed_at.get_or_insert(self.now.time);
@@ -237,8 +237,8 @@
     self.declare_lost();
     self.tick_refused();
     self.tick_neighbours();
-    self.tick_returning();
-    self.tell_news();
+    self.tick_reconnects();
+    self.send_endpoints();
     self.tick_rollouts();
   }
 
@@ -285,7 +285,7 @@
     // The version of its backend server may be in force already, even while no request waits for
     // one.
     self.note_versions(std::slice::from_ref(&own));
-    self.news_taken(std::slice::from_ref(&own), None);
+    self.endpoints_merged(std::slice::from_ref(&own), None);
     self.tick_registration();
   }
 
@@ -323,8 +323,8 @@
   /// Handles an endpoint of this box that this incarnation did not publish. It comes from an
   /// earlier incarnation, whose clock may have been ahead, or from a box that considers this one
   /// lost.
-  pub(super) fn take_own_news(&mut self, endpoint: &Endpoint) {
-    self.keep_findings(endpoint);
+  pub(super) fn merge_own_endpoint(&mut self, endpoint: &Endpoint) {
+    self.restore_findings(endpoint);
     if !endpoint.is_newer_than(&self.own) {
       return;
     }
@@ -340,7 +340,7 @@
   /// Republishes the findings of an earlier incarnation of this box. Otherwise a fleet that is
   /// killed as a whole would forget which requests crash its backend servers, and lose backend
   /// servers to learn it again.
-  fn keep_findings(&mut self, earlier: &Endpoint) {
+  fn restore_findings(&mut self, earlier: &Endpoint) {
     let is_earlier = earlier.incarnation < self.own.incarnation;
     if is_earlier && self.own.findings.is_empty() && !earlier.findings.is_empty() {
       self.own.findings.clone_from(&earlier.findings);
@@ -362,7 +362,7 @@
     self.now = now;
     match event {
       Event::Accepted { .. } => {}
-      Event::Asked { question, token } => self.asked(&question, token),
+      Event::Asked { question, token } => self.operator_asked(&question, token),
       Event::Consulted { id, reports } => self.inquiries.consulted(id, reports),
       Event::EndpointServes { service, slots, software, starts } => {
         self.change_service(service, software, slots, starts);
@@ -372,7 +372,7 @@
       Event::LinkFailed { box_id } => self.link_failed(&box_id),
       Event::LinkOpened { link, outbound, peer } => self.link_opened(link, outbound, &peer),
       Event::Received { link, message } => self.received(link, message),
-      Event::RolloutObserved(evidence) => self.evidence_told(None, vec![evidence]),
+      Event::RolloutObserved(evidence) => self.evidence_received(None, vec![evidence]),
       Event::RunsEnded(what) => self.runs_ended(what),
       Event::StoreAnswered { call, era, result } => {
         if !self.note_era(era) {
--- a/src/distribution/follower/neighbours.rs
+++ b/src/distribution/follower/neighbours.rs
@@ -5,7 +5,7 @@
   /// Time, in milliseconds, for which no link is opened to a box after one failed.
   const AVOID_MS: u64 = 3_000;
   /// Interval between two heartbeats of a link, in milliseconds.
-  const BEAT_MS: u64 = 500;
+  const HEARTBEAT_MS: u64 = 500;
   /// Timeout for opening a link, in milliseconds.
   const CONNECT_MS: u64 = 1_000;
   /// Maximum time, in milliseconds, since a neighbour's last answer from the store for its
@@ -35,48 +35,48 @@
       self.prefer_watchers();
       self.find_neighbour();
     } else {
-      self.hear_from_next_watcher();
+      self.subscribe_to_next_watcher();
     }
-    if now.since_ms(self.beat_at) >= Self::BEAT_MS {
-      self.beat_at = now;
+    if now.since_ms(self.heartbeat_sent_at) >= Self::HEARTBEAT_MS {
+      self.heartbeat_sent_at = now;
       if self.endpoints.expire(now) {
         self.act(Action::EndpointsChanged);
       }
-      self.send_beats();
+      self.send_heartbeats();
     }
   }
 
-  fn send_beat(&mut self, link: LinkId) {
-    let beat = Beat {
+  fn send_heartbeat(&mut self, link: LinkId) {
+    let heartbeat = Beat {
       applied_unix_ms: None,
       endpoints: self.endpoints.fingerprint(),
       era: self.era.unwrap_or_default(),
       is_relay: self.is_served_watcher(),
       revision: self.watch_revision().filter(|_| self.is_served_watcher()),
-      store_age_ms: self.knowledge_age_ms(),
+      store_age_ms: self.own_store_age_ms(),
       version: self.catalog.held(),
     };
-    self.send(link, Message::Beat(beat));
+    self.send(link, Message::Beat(heartbeat));
   }
 
   /// Whether this daemon currently watches the store, and the store serves it.
   fn is_served_watcher(&self) -> bool {
-    self.failing_since.is_none() && !matches!(self.watch, WatchPhase::Resting { .. })
+    self.failing_since.is_none() && !matches!(self.watch, WatchPhase::Idle { .. })
   }
 
   /// Milliseconds since the store confirmed the held version; `None` if this daemon does not watch
   /// the store itself. Knowledge from neighbours is not passed on as fresh: otherwise two daemons
   /// could consider each other fresh although neither asks the store.
-  fn knowledge_age_ms(&self) -> Option<u64> {
-    let heard_at = self.confirmed_at.filter(|_| self.is_served_watcher());
-    heard_at.map(|at| self.now.time.since_ms(at))
+  fn own_store_age_ms(&self) -> Option<u64> {
+    let confirmed_at = self.confirmed_at.filter(|_| self.is_served_watcher());
+    confirmed_at.map(|at| self.now.time.since_ms(at))
   }
 
   /// Sends a heartbeat on every link, which states how fresh this daemon's knowledge is.
-  pub(super) fn send_beats(&mut self) {
+  pub(super) fn send_heartbeats(&mut self) {
     let links: Vec<LinkId> = self.links.keys().copied().collect();
     for link in links {
-      self.send_beat(link);
+      self.send_heartbeat(link);
     }
   }
 
@@ -170,10 +170,10 @@
   }
 
   pub(super) fn link_opened(&mut self, link: LinkId, outbound: bool, peer: &BoxId) {
-    let is_call_back = outbound && self.is_call_back(peer);
+    let is_reconnect = outbound && self.is_reconnect(peer);
     self.links.insert(link, Link::new(self.now.time, peer.clone(), LinkRole::Pending));
-    if is_call_back {
-      self.send_beat(link);
+    if is_reconnect {
+      self.send_heartbeat(link);
     } else if outbound {
       self.connecting.remove(peer);
       self.subscribe(link);
@@ -194,12 +194,12 @@
       version: self.catalog.held(),
     };
     self.send(link, Message::Subscribe(Box::new(subscribe)));
-    self.tell_evacuations_to(link);
-    self.tell_rollouts_to(link);
+    self.send_evacuations_to(link);
+    self.send_rollouts_to(link);
   }
 
   pub(super) fn link_failed(&mut self, box_id: &BoxId) {
-    if self.call_back_failed(box_id) {
+    if self.reconnect_failed(box_id) {
       return;
     }
     self.connecting.remove(box_id);
@@ -213,7 +213,7 @@
     if closed.role == LinkRole::Upstream {
       self.avoided.insert(closed.peer.clone(), self.now.time.after(Self::AVOID_MS));
     }
-    if !self.is_linked_downstream(&closed.peer) && self.kept_entries.remove(&closed.peer) {
+    if !self.is_linked_downstream(&closed.peer) && self.entries_for_others.remove(&closed.peer) {
       self.call_store(StoreRequest::Delete { key: keys::endpoint(&closed.peer) });
     }
   }
@@ -232,20 +232,20 @@
     match message {
       Message::Answer { id, reports } => self.inquiries.answered(id, link, reports),
       Message::Ask { hops: _, id, question } => self.neighbour_asked(link, id, &question),
-      Message::Beat(beat) => self.beat_received(link, &beat),
-      Message::Evacuations(told) => self.take_evacuations(&told, Some(link)),
-      Message::Evidence(told) => self.evidence_told(Some(link), told),
-      Message::News(endpoints) => self.news_received(link, &endpoints),
+      Message::Beat(heartbeat) => self.heartbeat_received(link, &heartbeat),
+      Message::Evacuations(received) => self.take_evacuations(&received, Some(link)),
+      Message::Evidence(received) => self.evidence_received(Some(link), received),
+      Message::News(endpoints) => self.endpoints_received(link, &endpoints),
       Message::Refused { reason } => self.update_refused(link, &reason),
-      Message::Rollout(word) => self.rollout_told(link, &word),
-      Message::Subscribe(subscribe) => self.subscription_asked(link, &subscribe),
+      Message::Rollout(update) => self.rollout_received(link, &update),
+      Message::Subscribe(subscribe) => self.subscription_requested(link, &subscribe),
       Message::Update(update) => self.update_received(link, &update),
-      Message::Accepted { version } => self.version_told(link, version),
+      Message::Accepted { version } => self.version_announced(link, version),
       Message::Redirect { .. } | Message::Relays(_) | Message::Welcome { .. } => {}
     }
   }
 
-  fn subscription_asked(&mut self, link: LinkId, subscribe: &Subscribe) {
+  fn subscription_requested(&mut self, link: LinkId, subscribe: &Subscribe) {
     if let Some(known) = self.links.get_mut(&link) {
       known.role = LinkRole::Downstream;
       known.version = subscribe.version;
@@ -254,30 +254,30 @@
       let present: Vec<Endpoint> = self.endpoints.present().cloned().collect();
       self.send(link, Message::News(present));
     }
-    self.news_received(link, std::slice::from_ref(&subscribe.endpoint));
-    self.tell_evacuations_to(link);
+    self.endpoints_received(link, std::slice::from_ref(&subscribe.endpoint));
+    self.send_evacuations_to(link);
     self.push_update(link);
-    self.tell_refused_to(link);
-    self.tell_rollouts_to(link);
-    self.send_beat(link);
+    self.announce_refused_to(link);
+    self.send_rollouts_to(link);
+    self.send_heartbeat(link);
     if self.lapsed.contains_key(&subscribe.endpoint.peer.box_id) {
-      self.keep_entry_of(&subscribe.endpoint.peer.box_id);
+      self.write_entry_for(&subscribe.endpoint.peer.box_id);
     }
   }
 
-  fn beat_received(&mut self, link: LinkId, beat: &Beat) {
-    if beat.era > self.era.unwrap_or_default() {
-      self.note_era(beat.era);
+  fn heartbeat_received(&mut self, link: LinkId, heartbeat: &Beat) {
+    if heartbeat.era > self.era.unwrap_or_default() {
+      self.note_era(heartbeat.era);
     }
     let now = self.now.time;
     let Some(known) = self.links.get_mut(&link) else {
       return;
     };
-    known.version = beat.version.max(known.version);
-    known.store_age_ms = beat.store_age_ms;
+    known.version = heartbeat.version.max(known.version);
+    known.store_age_ms = heartbeat.store_age_ms;
     let is_new = now.since_ms(known.opened_at) < Self::SILENCE_MS;
-    let is_served_again = beat.is_relay && !known.is_relay && !is_new;
-    known.is_relay = beat.is_relay;
+    let is_served_again = heartbeat.is_relay && !known.is_relay && !is_new;
+    known.is_relay = heartbeat.is_relay;
     if is_served_again && known.role == LinkRole::Upstream {
       // The store was unreachable: this box's lease may have expired meanwhile, and its entry must
       // be back soon.
@@ -286,7 +286,7 @@
     let Some(known) = self.links.get_mut(&link) else {
       return;
     };
-    let is_offer = known.role == LinkRole::Pending && beat.version.is_some();
+    let is_offer = known.role == LinkRole::Pending && heartbeat.version.is_some();
     if is_offer && self.catalog.version().is_none() {
       self.log("a former neighbour offers its configuration: subscribing to it");
       return self.subscribe(link);
@@ -295,49 +295,49 @@
       return;
     };
     let is_known_long = now.since_ms(known.opened_at) > Self::STALE_MS;
-    self.compare_boxes(link, beat.endpoints);
-    let held = beat.version.map(|(version, _)| version);
+    self.compare_fingerprints(link, heartbeat.endpoints);
+    let held = heartbeat.version.map(|(version, _)| version);
     if let Some(version) = held {
       self.note_newer(version);
     }
     if held <= self.catalog.version() {
-      self.skip_to(beat.revision);
+      self.advance_to(heartbeat.revision);
     }
     // A watcher trusts only its own watch: watchers subscribe to each other, and would otherwise
     // consider each other fresh.
-    if let Some(age_ms) = beat.store_age_ms
+    if let Some(age_ms) = heartbeat.store_age_ms
       && held <= self.catalog.version()
       && !self.is_served_watcher()
     {
       let at = Time(now.0.saturating_sub(age_ms));
       self.confirmed_at = self.confirmed_at.max(Some(at));
     }
-    let is_stale = beat.store_age_ms.is_none_or(|age_ms| age_ms > Self::STALE_MS);
+    let is_stale = heartbeat.store_age_ms.is_none_or(|age_ms| age_ms > Self::STALE_MS);
     if is_stale && is_known_long {
       self.close_link(link);
     }
   }
 
-  fn news_received(&mut self, link: LinkId, endpoints: &[Endpoint]) {
+  fn endpoints_received(&mut self, link: LinkId, endpoints: &[Endpoint]) {
     let mut fresh = Vec::new();
     for endpoint in endpoints {
-      if self.take_news(endpoint) {
+      if self.merge_endpoint(endpoint) {
         fresh.push(endpoint.clone());
       }
       // Another box found the entry missing, but this box is alive; its reply is written for it.
       let box_id = &endpoint.peer.box_id;
       if endpoint.state == EndpointState::Lost && self.is_linked_downstream(box_id) {
-        self.kept_entries.insert(box_id.clone());
+        self.entries_for_others.insert(box_id.clone());
       }
     }
-    let kept_entries: Vec<BoxId> = fresh
+    let entries_for_others: Vec<BoxId> = fresh
       .iter()
       .map(|endpoint| endpoint.peer.box_id.clone())
-      .filter(|box_id| self.kept_entries.contains(box_id))
+      .filter(|box_id| self.entries_for_others.contains(box_id))
       .collect();
-    for box_id in kept_entries {
-      self.keep_entry_of(&box_id);
+    for box_id in entries_for_others {
+      self.write_entry_for(&box_id);
     }
-    self.news_taken(&fresh, Some(link));
+    self.endpoints_merged(&fresh, Some(link));
   }
 }
--- a/src/distribution/follower/returning.rs
+++ b/src/distribution/follower/reconnects.rs
@@ -2,9 +2,9 @@
 
 /// A box whose link ended unexpectedly: it may be restarting.
 #[derive(Clone, Debug)]
-pub(super) struct Returning {
+pub(super) struct Reconnect {
   /// When the next attempt is made; `None` while one is pending.
-  call_at: Option<Time>,
+  attempt_at: Option<Time>,
   pause_ms: u64,
   peer: Peer,
   since: Time,
@@ -20,12 +20,12 @@
   /// neighbours either.
   const LOST_MS: u64 = 4_000;
   /// Delay, in milliseconds, before the first attempt: a process starts in less.
-  const CALL_BACK_FIRST_MS: u64 = 250;
+  const RECONNECT_FIRST_MS: u64 = 250;
   /// Maximum pause between two attempts to reach a box, in milliseconds.
-  const CALL_BACK_PAUSE_MAX_MS: u64 = 2_000;
+  const RECONNECT_PAUSE_MAX_MS: u64 = 2_000;
   /// Time, in milliseconds, after which attempts end: the box has left for good, or finds its
   /// neighbours itself once the store serves it.
-  const CALL_BACK_UNTIL_MS: u64 = 15_000;
+  const RECONNECT_UNTIL_MS: u64 = 15_000;
   /// Time, in milliseconds, after which a link without a subscription is closed.
   const OFFER_MS: u64 = 1_000;
 
@@ -34,31 +34,31 @@
     let lost = self.links.get(&link).filter(|lost| lost.role != LinkRole::Pending);
     let known = lost.and_then(|lost| self.endpoints.get(&lost.peer));
     if let Some(peer) = known.map(|endpoint| endpoint.peer.clone()) {
-      let (since, pause_ms) = (self.now.time, Self::CALL_BACK_FIRST_MS);
-      let call_at = Some(since.after(pause_ms));
-      let returning = Returning { call_at, pause_ms, peer, since };
-      self.returning.insert(returning.peer.box_id.clone(), returning);
+      let (since, pause_ms) = (self.now.time, Self::RECONNECT_FIRST_MS);
+      let attempt_at = Some(since.after(pause_ms));
+      let reconnect = Reconnect { attempt_at, pause_ms, peer, since };
+      self.reconnects.insert(reconnect.peer.box_id.clone(), reconnect);
     }
     self.link_closed(link);
   }
 
   /// Opens links to boxes that may be back, if this daemon has a configuration to offer them.
-  pub(super) fn tick_returning(&mut self) {
+  pub(super) fn tick_reconnects(&mut self) {
     let now = self.now.time;
     self.close_unused_offers();
     let linked: BTreeSet<BoxId> = self.links.values().map(|link| link.peer.clone()).collect();
-    self.returning.retain(|box_id, returning| {
-      !linked.contains(box_id) && now.since_ms(returning.since) < Self::CALL_BACK_UNTIL_MS
+    self.reconnects.retain(|box_id, reconnect| {
+      !linked.contains(box_id) && now.since_ms(reconnect.since) < Self::RECONNECT_UNTIL_MS
     });
     if self.catalog.version().is_none() {
       return;
     }
     let mut due = Vec::new();
-    for (box_id, returning) in &mut self.returning {
-      let is_due = returning.call_at.is_some_and(|at| now >= at);
+    for (box_id, reconnect) in &mut self.reconnects {
+      let is_due = reconnect.attempt_at.is_some_and(|at| now >= at);
       if is_due && !self.connecting.contains_key(box_id) {
-        returning.call_at = None;
-        due.push(returning.peer.clone());
+        reconnect.attempt_at = None;
+        due.push(reconnect.peer.clone());
       }
     }
     for peer in due {
@@ -78,35 +78,36 @@
   }
 
   /// Whether a link that opens now is an attempt to reconnect.
-  pub(super) fn is_call_back(&self, peer: &BoxId) -> bool {
-    self.returning.get(peer).is_some_and(|returning| returning.call_at.is_none())
+  pub(super) fn is_reconnect(&self, peer: &BoxId) -> bool {
+    self.reconnects.get(peer).is_some_and(|reconnect| reconnect.attempt_at.is_none())
   }
 
   /// Handles a link that failed to open. Returns whether it was an attempt to reconnect.
-  pub(super) fn call_back_failed(&mut self, box_id: &BoxId) -> bool {
+  pub(super) fn reconnect_failed(&mut self, box_id: &BoxId) -> bool {
     let now = self.now.time;
-    let called = self.returning.get_mut(box_id).filter(|returning| returning.call_at.is_none());
-    let Some(returning) = called else {
+    let attempted =
+      self.reconnects.get_mut(box_id).filter(|reconnect| reconnect.attempt_at.is_none());
+    let Some(reconnect) = attempted else {
       return false;
     };
-    returning.pause_ms = (returning.pause_ms * 2).min(Self::CALL_BACK_PAUSE_MAX_MS);
-    returning.call_at = Some(now.after(returning.pause_ms));
-    if now.since_ms(returning.since) >= Self::LOST_MS && self.hears_others() {
-      self.take_for_lost(box_id, "its link ended, and it cannot be reached");
+    reconnect.pause_ms = (reconnect.pause_ms * 2).min(Self::RECONNECT_PAUSE_MAX_MS);
+    reconnect.attempt_at = Some(now.after(reconnect.pause_ms));
+    if now.since_ms(reconnect.since) >= Self::LOST_MS && self.is_connected() {
+      self.declare_unreachable(box_id, "its link ended, and it cannot be reached");
     }
     true
   }
 
   /// Whether this daemon is not cut off itself: the store serves it, and other boxes send to it.
-  fn hears_others(&self) -> bool {
+  fn is_connected(&self) -> bool {
     let now = self.now.time;
-    let speaks = |link: &Link| now.since_ms(link.heard_at) <= Self::SILENCE_MS;
-    self.failing_since.is_none() && self.links.values().any(speaks)
+    let is_heard = |link: &Link| now.since_ms(link.heard_at) <= Self::SILENCE_MS;
+    self.failing_since.is_none() && self.links.values().any(is_heard)
   }
 
   /// Declares a box lost to the fleet. A box that is alive learns of it from others and corrects
   /// it.
-  fn take_for_lost(&mut self, box_id: &BoxId, reason: &str) {
+  fn declare_unreachable(&mut self, box_id: &BoxId, reason: &str) {
     let known = self.endpoints.get(box_id).filter(|known| !known.state.is_gone());
     let Some(known) = known else {
       return;
@@ -114,7 +115,7 @@
     let lost = Endpoint { state: EndpointState::Lost, ..known.clone() };
     if self.endpoints.merge(self.now.time, lost.clone()) {
       self.log(format!("box {box_id} is declared lost: {reason}"));
-      self.news_taken(&[lost], None);
+      self.endpoints_merged(&[lost], None);
     }
   }
 }
--- a/src/distribution/follower/rollouts.rs
+++ b/src/distribution/follower/rollouts.rs
@@ -43,25 +43,25 @@
   }
 
   /// Handles a roll-out's state sent by a neighbour.
-  pub(super) fn rollout_told(&mut self, link: LinkId, word: &rollout::Word) {
-    let (is_new, actions) = self.rollouts.heard(self.now.time, word);
+  pub(super) fn rollout_received(&mut self, link: LinkId, update: &rollout::Word) {
+    let (is_new, actions) = self.rollouts.heard(self.now.time, update);
     if is_new && actions.is_empty() {
-      self.tell_rollout(word, Some(link));
+      self.send_rollout(update, Some(link));
     }
     self.carry_out(actions);
   }
 
   /// Sends the state of all roll-outs to a new neighbour.
-  pub(super) fn tell_rollouts_to(&mut self, link: LinkId) {
-    for word in self.rollouts.words(self.now.time) {
-      self.send(link, Message::Rollout(Box::new(word)));
+  pub(super) fn send_rollouts_to(&mut self, link: LinkId) {
+    for update in self.rollouts.words(self.now.time) {
+      self.send(link, Message::Rollout(Box::new(update)));
     }
   }
 
-  fn tell_rollout(&mut self, word: &rollout::Word, but: Option<LinkId>) {
+  fn send_rollout(&mut self, update: &rollout::Word, but: Option<LinkId>) {
     let links: Vec<LinkId> = self.links.keys().copied().filter(|link| Some(*link) != but).collect();
     for link in links {
-      self.send(link, Message::Rollout(Box::new(word.clone())));
+      self.send(link, Message::Rollout(Box::new(update.clone())));
     }
   }
 
@@ -72,9 +72,9 @@
           let call = self.call_store(request);
           self.rollout_calls.insert(call, service);
         }
-        RolloutAction::Changed => self.tell_traffic(),
+        RolloutAction::Changed => self.publish_traffic(),
         RolloutAction::Log(text) => self.log(text),
-        RolloutAction::Spread(word) => self.tell_rollout(&word, None),
+        RolloutAction::Spread(update) => self.send_rollout(&update, None),
       }
     }
   }
@@ -91,7 +91,7 @@
   }
 
   /// Publishes the shares of versions to this box's proxies if they changed.
-  fn tell_traffic(&mut self) {
+  fn publish_traffic(&mut self) {
     let traffic = self.rollouts.traffic();
     if self.traffic.as_ref() != Some(&traffic) {
       self.traffic = Some(traffic.clone());
@@ -100,7 +100,7 @@
   }
 
   /// Derives from changed endpoints which versions are in force.
-  pub(super) fn note_versions(&mut self, news: &[Endpoint]) {
+  pub(super) fn note_versions(&mut self, updated: &[Endpoint]) {
     // A box that knows only itself cannot derive what its fleet runs.
     if self.endpoints.present().nth(1).is_none() && self.directory_revision == Revision::default() {
       return;
@@ -108,7 +108,7 @@
     let changed = std::mem::take(&mut self.changed_services);
     let is_first = self.traffic.is_none();
     let changed: BTreeSet<&ServiceName> =
-      news.iter().map(|endpoint| &endpoint.service).chain(&changed).collect();
+      updated.iter().map(|endpoint| &endpoint.service).chain(&changed).collect();
     let mut services: BTreeMap<&ServiceName, Vec<&Endpoint>> = BTreeMap::new();
     for endpoint in self.endpoints.present() {
       if is_first || changed.contains(&endpoint.service) {
@@ -119,7 +119,7 @@
       let view = view(&self.identity, self.now, endpoints);
       self.rollouts.note_endpoints(service, &view);
     }
-    self.tell_traffic();
+    self.publish_traffic();
   }
 
   pub(super) fn tick_rollouts(&mut self) {
@@ -147,11 +147,11 @@
   }
 
   /// Handles a box's observations of its backend server's answers.
-  pub(super) fn evidence_told(&mut self, from: Option<LinkId>, told: Vec<Evidence>) {
+  pub(super) fn evidence_received(&mut self, from: Option<LinkId>, received: Vec<Evidence>) {
     let now = self.now.time;
-    for evidence in told {
+    for evidence in received {
       if self.rollouts.observed(now, &evidence) {
-        self.evidence.push((from, evidence));
+        self.unsent_evidence.push((from, evidence));
       }
     }
   }
@@ -160,8 +160,8 @@
   /// those they subscribe to. Every box that may decide thus has all of them, and no other box
   /// carries them.
   fn flush_evidence(&mut self) {
-    let heard = std::mem::take(&mut self.evidence);
-    if heard.is_empty() {
+    let unsent = std::mem::take(&mut self.unsent_evidence);
+    if unsent.is_empty() {
       return;
     }
     let is_watcher = self.watchers.is_one(&self.own.peer.box_id);
@@ -172,10 +172,10 @@
     let links = self.links.iter().filter(|(_, link)| leads_there(link));
     let links: Vec<LinkId> = links.map(|(id, _)| *id).collect();
     for link in links {
-      let told = heard.iter().filter(|(from, _)| *from != Some(link));
-      let told: Vec<Evidence> = told.map(|(_, evidence)| evidence.clone()).collect();
-      if !told.is_empty() {
-        self.send(link, Message::Evidence(told));
+      let forwarded = unsent.iter().filter(|(from, _)| *from != Some(link));
+      let forwarded: Vec<Evidence> = forwarded.map(|(_, evidence)| evidence.clone()).collect();
+      if !forwarded.is_empty() {
+        self.send(link, Message::Evidence(forwarded));
       }
     }
   }
--- a/src/distribution/follower/following.rs
+++ b/src/distribution/follower/store_watch.rs
@@ -17,7 +17,7 @@
   const ENTRY_DELAY_MS: u64 = 8_000;
   /// Delay, in milliseconds, before a store without a configuration is read again. A stale read
   /// costs a tenth of a watch, and each box of a fleet that starts as a whole would need one.
-  const UNREAD_MS: u64 = 500;
+  const EMPTY_STORE_RETRY_MS: u64 = 500;
   /// Maximum time, in milliseconds, for which a fleet counts as forming. A change accepted
   /// meanwhile may still take the time allowed for the first contact of a box.
   pub(super) const FORMING_MS: u64 = 5_000;
@@ -33,14 +33,14 @@
   /// Wait, in milliseconds, of a temporary watch, which neighbours will soon replace. The store
   /// answers a watch even if nobody needs the answer any more, and a whole configuration then
   /// blocks a narrow link for a second, ahead of a neighbour's small update.
-  const PASSING_WATCH_MS: u64 = 1_500;
+  const TEMPORARY_WATCH_MS: u64 = 1_500;
   /// Duration of failing calls, in milliseconds, after which a pending watch is no longer trusted.
-  const WATCH_DOUBT_MS: u64 = 1_000;
+  const WATCH_DISTRUST_MS: u64 = 1_000;
 
   pub(super) fn tick_registration(&mut self) {
     let call = self.last_call + 1;
     let ttl_ms = self.identity.timing.lease_ttl_ms;
-    let is_watching = !matches!(self.watch, WatchPhase::Resting { .. });
+    let is_watching = !matches!(self.watch, WatchPhase::Idle { .. });
     let renew_ms = if is_watching { Self::WATCHER_RENEW_MS } else { ttl_ms * 2 / 5 };
     let (now, first_ms) = (self.now.time, Self::ENTRY_DELAY_MS);
     let due = self.registration.tick(now, call, ttl_ms, renew_ms, first_ms, &self.own);
@@ -72,39 +72,39 @@
     let must_watch = self.must_watch();
     let is_waiting = match self.watch {
       WatchPhase::Backoff { until, .. } => self.contact_at.is_some() && self.now.time >= until,
-      WatchPhase::Resting { .. } => must_watch,
+      WatchPhase::Idle { .. } => must_watch,
       _ => false,
     };
     if is_waiting && !self.is_in_contact() {
       return;
     }
     match self.watch {
-      WatchPhase::Resting { after: Some(after) } if must_watch => self.wait_for_changes(after),
-      WatchPhase::Resting { after: None } if must_watch => self.read_configuration(true),
+      WatchPhase::Idle { after: Some(after) } if must_watch => self.wait_for_changes(after),
+      WatchPhase::Idle { after: None } if must_watch => self.read_configuration(true),
       WatchPhase::Backoff { after, until } if self.now.time >= until => match after {
         Some(after) => self.wait_for_changes(self.revision_held(after)),
         None => self.read_configuration(true),
       },
-      WatchPhase::Gathering { after, until } if self.now.time >= until => {
+      WatchPhase::Batching { after, until } if self.now.time >= until => {
         if must_watch {
           self.wait_for_changes(after);
         } else {
-          self.watch = WatchPhase::Resting { after: Some(after) };
+          self.watch = WatchPhase::Idle { after: Some(after) };
         }
       }
       WatchPhase::Watching { after, .. } if !must_watch => {
-        self.watch = WatchPhase::Resting { after: Some(after) };
+        self.watch = WatchPhase::Idle { after: Some(after) };
       }
       _ => {}
     }
-    self.tick_outrun();
+    self.tick_watch_lag();
   }
 
   /// Records that the held configuration includes all changes up to a revision. An idle watch
   /// resumes from there.
-  pub(super) fn skip_to(&mut self, revision: Option<Revision>) {
+  pub(super) fn advance_to(&mut self, revision: Option<Revision>) {
     self.neighbours_revision = revision.max(self.neighbours_revision);
-    if let WatchPhase::Resting { after } = &mut self.watch {
+    if let WatchPhase::Idle { after } = &mut self.watch {
       *after = revision.max(*after);
     }
   }
@@ -112,20 +112,20 @@
   /// The revision from which a watch would resume, if one is known.
   pub(super) fn watch_revision(&self) -> Option<Revision> {
     match self.watch {
-      WatchPhase::Gathering { after, .. } | WatchPhase::Watching { after, .. } => Some(after),
-      WatchPhase::Resting { after } => after,
+      WatchPhase::Batching { after, .. } | WatchPhase::Watching { after, .. } => Some(after),
+      WatchPhase::Idle { after } => after,
       WatchPhase::Backoff { .. } | WatchPhase::Listing { .. } => None,
     }
   }
 
   /// Reads the configuration. A stale answer is sufficient if a watch follows, which brings newer
   /// changes.
-  pub(super) fn read_configuration(&mut self, may_be_old: bool) {
+  pub(super) fn read_configuration(&mut self, may_be_stale: bool) {
     let prefix = self.source.prefix();
     let request =
-      if may_be_old { StoreRequest::ListStale { prefix } } else { StoreRequest::List { prefix } };
+      if may_be_stale { StoreRequest::ListStale { prefix } } else { StoreRequest::List { prefix } };
     let call = self.call_store(request);
-    self.watch = WatchPhase::Listing { call, may_be_old };
+    self.watch = WatchPhase::Listing { call, may_be_stale };
   }
 
   /// Applies the result of a read of the configuration and resumes the watch after it.
@@ -135,25 +135,25 @@
   /// fleet of 13 boxes that restarted right after a change. The watch therefore resumes from the
   /// newest revision among the entries shown. If the store has compacted the history since then, it
   /// says so, and the newest configuration is read.
-  fn configuration_read(&mut self, entries: &[Entry], revision: Revision, may_be_old: bool) {
+  fn configuration_read(&mut self, entries: &[Entry], revision: Revision, may_be_stale: bool) {
     for entry in entries {
       self.note_entry(entry);
     }
     let shown = entries.iter().map(|entry| entry.revision).max().unwrap_or_default();
-    let after = if may_be_old { shown } else { revision };
+    let after = if may_be_stale { shown } else { revision };
     self.note_evacuations_over(entries, after);
-    let kind = if may_be_old { "a stale" } else { "the newest" };
+    let kind = if may_be_stale { "a stale" } else { "the newest" };
     self.log(format!(
       "{kind} configuration was read: changed at revision {shown}, read at {revision}, \
        watched from {after}"
     ));
     if entries.is_empty() && self.is_settling() {
-      let until = self.now.time.after(Self::UNREAD_MS);
+      let until = self.now.time.after(Self::EMPTY_STORE_RETRY_MS);
       self.watch = WatchPhase::Backoff { after: None, until };
     } else if self.must_watch() {
       self.wait_for_changes(after);
     } else {
-      self.watch = WatchPhase::Resting { after: Some(after) };
+      self.watch = WatchPhase::Idle { after: Some(after) };
     }
   }
 
@@ -183,7 +183,7 @@
       WatchPhase::Listing { call: own, .. } | WatchPhase::Watching { call: own, .. }
         if own == call =>
       {
-        self.outrun_since = None;
+        self.watch_lagging_since = None;
       }
       _ => return,
     }
@@ -192,8 +192,8 @@
     }
     match result {
       Ok(Reply::Entries { entries, revision }) => {
-        let may_be_old = matches!(self.watch, WatchPhase::Listing { may_be_old: true, .. });
-        self.configuration_read(entries, *revision, may_be_old);
+        let may_be_stale = matches!(self.watch, WatchPhase::Listing { may_be_stale: true, .. });
+        self.configuration_read(entries, *revision, may_be_stale);
       }
       Ok(Reply::Changes { events, revision }) => {
         for event in events {
@@ -202,7 +202,7 @@
             None => self.note_withdrawal(&event.key, event.revision),
           }
         }
-        self.gather(*revision);
+        self.batch_changes(*revision);
       }
       _ => self.back_off(result),
     }
@@ -221,9 +221,9 @@
         self.failing_since = Some(now);
         self.registration.wake();
         // The call, its duration and its progress distinguish a silent store from a saturated link.
-        let asked = self.asked_for(call);
-        self.log(format!("the store does not serve this box, asked for {asked}: {err}"));
-        self.send_beats();
+        let purpose = self.call_purpose(call);
+        self.log(format!("the store does not serve this box, asked for {purpose}: {err}"));
+        self.send_heartbeats();
       }
       return;
     }
@@ -231,7 +231,7 @@
     // Other calls say nothing about changes, and a stale answer nothing about the newest version.
     let is_silent = matches!(
       self.watch,
-      WatchPhase::Resting { .. } | WatchPhase::Listing { may_be_old: true, .. }
+      WatchPhase::Idle { .. } | WatchPhase::Listing { may_be_stale: true, .. }
     );
     if !is_silent {
       self.confirmed_at = Some(now);
@@ -242,15 +242,15 @@
     let failed_ms = now.since_ms(since);
     self.log(format!("the store serves this box again, after {failed_ms} ms"));
     if let WatchPhase::Watching { after, .. } = self.watch
-      && failed_ms >= Self::WATCH_DOUBT_MS
+      && failed_ms >= Self::WATCH_DISTRUST_MS
     {
-      self.watch = WatchPhase::Resting { after: Some(after) };
+      self.watch = WatchPhase::Idle { after: Some(after) };
     }
     self.directory_at = now;
   }
 
   /// Describes the purpose of a pending call for the log.
-  fn asked_for(&self, call: u64) -> &'static str {
+  fn call_purpose(&self, call: u64) -> &'static str {
     match self.watch {
       WatchPhase::Listing { call: own, .. } if own == call => "the configuration",
       _ if self.directory_call == Some(call) => "the directory",
@@ -282,17 +282,17 @@
   }
 
   /// Delays the next watch so that changes in quick succession cost one call.
-  fn gather(&mut self, after: Revision) {
+  fn batch_changes(&mut self, after: Revision) {
     let until = self.now.time.after(self.identity.timing.news_delay_ms);
-    self.watch = WatchPhase::Gathering { after, until };
+    self.watch = WatchPhase::Batching { after, until };
   }
 
   pub(super) fn wait_for_changes(&mut self, after: Revision) {
-    self.outrun_since = None;
+    self.watch_lagging_since = None;
     let prefix = self.source.prefix();
     // A daemon that has just started does not know yet whether it remains a watcher.
     let is_lasting = self.is_watcher() && !self.is_settling();
-    let wait_ms = if is_lasting { self.watch_ms() } else { Self::PASSING_WATCH_MS };
+    let wait_ms = if is_lasting { self.watch_wait_ms() } else { Self::TEMPORARY_WATCH_MS };
     let call = self.call_store(StoreRequest::Watch { after, prefix, wait_ms });
     self.watch = WatchPhase::Watching { after, call };
   }
@@ -322,7 +322,7 @@
       return;
     }
     match self.catalog.take_whole(configuration, self.now.unix_ms) {
-      Ok(()) => self.switched(),
+      Ok(()) => self.publish_configuration(),
       Err(err) => self.refuse(err.to_string(), Some(version)),
     }
   }
@@ -346,7 +346,7 @@
       self.note_newer(version);
     }
     if is_new {
-      self.tell_refused();
+      self.announce_refused();
     }
   }
 
--- a/src/distribution/follower/updates.rs
+++ b/src/distribution/follower/updates.rs
@@ -6,7 +6,7 @@
   const BEHIND_MS: u64 = 500;
   /// Maximum time, in milliseconds, for which updates may saturate a box's link: a small part of
   /// the time allowed for a change.
-  const PUSH_MS: usize = 300;
+  const PUSH_MAX_MS: usize = 300;
 
   /// Fetches a newer version that a neighbour holds and that got lost or takes too long: reads the
   /// store, or requests the whole configuration from the neighbour if the store cannot provide it.
@@ -42,16 +42,16 @@
 
   /// Announces a version that was refused here to the subscribers. They may be able to read it, and
   /// must not answer for routes as if it did not exist.
-  pub(super) fn tell_refused(&mut self) {
+  pub(super) fn announce_refused(&mut self) {
     let is_subscriber = |link: &Link| link.role == LinkRole::Downstream;
     let subscribers = self.links.iter().filter(|(_, link)| is_subscriber(link));
     let subscribers: Vec<LinkId> = subscribers.map(|(id, _)| *id).collect();
     for link in subscribers {
-      self.tell_refused_to(link);
+      self.announce_refused_to(link);
     }
   }
 
-  pub(super) fn tell_refused_to(&mut self, link: LinkId) {
+  pub(super) fn announce_refused_to(&mut self, link: LinkId) {
     if let Some(version) = self.refused.as_ref().and_then(|refused| refused.version) {
       self.send(link, Message::Accepted { version });
     }
@@ -84,8 +84,8 @@
       packed.unpack().and_then(|update| self.catalog.take(update, from, self.now.unix_ms));
     match taken {
       Ok(()) => {
-        self.note_outrun();
-        self.switched();
+        self.note_watch_lag();
+        self.publish_configuration();
       }
       Err(Error::Backwards { .. }) => {}
       Err(err) => {
@@ -113,7 +113,7 @@
   }
 
   /// Applies a newer version and sends it to the neighbours that lack it.
-  pub(super) fn switched(&mut self) {
+  pub(super) fn publish_configuration(&mut self) {
     let Some(configuration) = self.catalog.configuration().cloned() else {
       return;
     };
@@ -162,11 +162,11 @@
     }
     let sharers = self.links.values().filter(|link| link.role == LinkRole::Downstream).count();
     let bytes_per_ms = usize::try_from(self.own.link_mbps).unwrap_or(usize::MAX) * 125;
-    update.size_bytes() * sharers > bytes_per_ms * Self::PUSH_MS
+    update.size_bytes() * sharers > bytes_per_ms * Self::PUSH_MAX_MS
   }
 
   /// Handles the announcement of a version that the neighbour does not send itself.
-  pub(super) fn version_told(&mut self, link: LinkId, version: Version) {
+  pub(super) fn version_announced(&mut self, link: LinkId, version: Version) {
     if self.catalog.version() >= Some(version) {
       return;
     }
--- a/tests/crowds.rs
+++ b/tests/crowds.rs
@@ -22,7 +22,7 @@
 
 /// Lets the given number of boxes change their state within about 200 ms. Returns how many updates
 /// the busiest other box passed on to its proxies, and the number of messages on all links.
-fn crowd(changing: usize) -> (usize, usize) {
+fn burst(changing: usize) -> (usize, usize) {
   let mut fleet = Followers::at_rest(BOXES);
   fleet.times_told.clear();
   fleet.news_messages = 0;
@@ -41,16 +41,16 @@
 
 /// Pattern of a scale-out or a restart of many backend servers.
 #[test]
-fn news_of_a_crowd_is_told_together() {
-  let (told_few, few_messages) = crowd(4);
-  let (told, messages) = crowd(40);
-  assert!(told <= 5 * told_few, "{told} updates for 40 boxes, {told_few} for 4");
+fn updates_of_a_burst_are_batched() {
+  let (few_updates, few_messages) = burst(4);
+  let (updates, messages) = burst(40);
+  assert!(updates <= 5 * few_updates, "{updates} updates for 40 boxes, {few_updates} for 4");
   // Ten times as many boxes cost less than half as much each.
   assert!(messages < 5 * few_messages, "{messages} messages for 40 boxes, {few_messages} for 4");
 }
 
 #[test]
-fn a_box_that_ends_is_known_to_be_gone_before_its_lease_ends() {
+fn a_stopped_box_is_known_to_be_lost_before_its_lease_expires() {
   let mut fleet = Followers::at_rest(BOXES);
   fleet.stop(7);
   fleet.run(7_000);
@@ -60,7 +60,7 @@
 
 /// A paused process is declared lost, and is live again as soon as it resumes.
 #[test]
-fn a_box_that_lives_is_back_once_it_hears_that_it_is_lost() {
+fn a_live_box_is_back_once_it_learns_that_it_is_considered_lost() {
   let mut fleet = Followers::at_rest(BOXES);
   fleet.frozen.insert(Followers::box_id(7));
   fleet.run(8_000);
@@ -72,7 +72,7 @@
 
 /// A box that is cut off declares no box lost: it cannot tell which ones are.
 #[test]
-fn a_box_that_hears_nobody_takes_nobody_for_lost() {
+fn a_box_that_is_cut_off_declares_no_box_lost() {
   let mut fleet = Followers::at_rest(4);
   for index in 1..4 {
     fleet.frozen.insert(Followers::box_id(index));
@@ -85,7 +85,7 @@
 
 /// The proxies' lookups are the same whether updates came one by one or all at once.
 #[test]
-fn boxes_of_a_service_follow_the_news() {
+fn boxes_of_a_service_follow_updates() {
   let mut known = ServiceEndpoints::default();
   let [mut one, other] = [endpoint("box-1", "hall-1", 4), endpoint("box-2", "hall-1", 4)];
   known.take(&one);
--- a/tests/followers.rs
+++ b/tests/followers.rs
@@ -60,7 +60,7 @@
 
 /// A configuration is large and the box's link may be narrow, so none should be read twice.
 #[test]
-fn a_box_that_becomes_a_watcher_does_not_read_what_it_was_told_before() {
+fn a_new_watcher_does_not_read_configurations_again() {
   let mut fleet = fleet();
   for version in 2..=21 {
     fleet.write_version(version);
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn boxes_that_the_store_turns_away_get_changes_and_news_from_neighbours() {
+fn boxes_that_the_store_rejects_get_changes_from_neighbours() {
   let mut fleet = fleet();
   fleet.unserved.extend((0..3).map(Followers::box_id));
   fleet.run(1_500);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn the_entry_of_a_box_that_lives_is_kept_for_it() {
+fn neighbours_keep_the_entry_of_a_live_box_that_the_store_rejects() {
   let mut fleet = fleet();
   fleet.unserved.insert(Followers::box_id(0));
   fleet.run(15_000);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_box_that_dies_is_gone_soon_after_its_lease() {
+fn a_dead_box_is_lost_soon_after_its_lease_expires() {
   let mut fleet = fleet();
   fleet.stop(4);
   fleet.run(4_000 + 2_500 + 2 * DIRECTORY_MS);
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_herd_that_returns_at_once_is_whole_again() {
+fn a_fleet_that_restarts_at_once_recovers() {
   let mut fleet = fleet();
   for index in 0..BOXES {
     fleet.stop(index);
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_box_that_stood_still_reads_the_store_anew() {
+fn a_paused_box_reads_the_store_again() {
   let mut fleet = fleet();
   fleet.frozen.insert(Followers::box_id(2));
   fleet.run(6_000);
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn at_rest_a_box_costs_the_store_a_call_in_five_seconds() {
+fn an_idle_box_costs_the_store_a_call_in_five_seconds() {
   let mut fleet = fleet();
   fleet.run(5_000);
   let before = fleet.store_tenths;
@@ -180,7 +180,7 @@
 
 /// Whichever two boxes fail, the others hold a change within the time that the platform allows.
 #[test]
-fn a_change_is_in_force_in_time_whichever_two_boxes_stand_still() {
+fn a_change_is_in_force_in_time_whichever_two_boxes_are_paused() {
   for first in 0..BOXES {
     for second in 0..first {
       let mut fleet = fleet();
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn a_change_is_in_force_in_time_whichever_two_boxes_the_store_turns_away() {
+fn a_change_is_in_force_in_time_whichever_two_boxes_the_store_rejects() {
   for first in 0..BOXES {
     for second in 0..first {
       let mut fleet = fleet();
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn changes_in_quick_succession_travel_as_patches_and_end_at_the_same_version() {
+fn changes_in_quick_succession_are_sent_as_patches_and_lead_to_the_same_version() {
   let mut fleet = fleet();
   fleet.run(2_000);
   for version in 2..40 {
@@ -229,7 +229,7 @@
 /// A change of many objects would saturate narrow links of the watchers: the other boxes read the
 /// store.
 #[test]
-fn a_large_change_goes_around_the_links() {
+fn a_large_change_is_not_sent_on_narrow_links() {
   let mut fleet = fleet_on_links(1);
   fleet.run(2_000);
   fleet.write_services(2, 3);
@@ -260,7 +260,7 @@
 
 /// Until a box holds a version that was announced to it, it does not know which routes exist.
 #[test]
-fn a_box_says_that_it_is_behind_before_it_holds_a_large_change() {
+fn a_box_reports_that_it_is_behind_before_it_holds_a_large_change() {
   let mut fleet = fleet_on_links(1);
   fleet.run(2_000);
   assert_eq!(fleet.behind, [], "no box missed the first version");
@@ -275,7 +275,7 @@
 
 /// A box that restarts while the store serves no box knows no other box.
 #[test]
-fn a_box_that_starts_anew_in_an_outage_is_called_back_by_its_neighbours() {
+fn neighbours_reconnect_to_a_box_that_restarts_in_an_outage() {
   for index in 0..BOXES {
     let mut fleet = fleet();
     fleet.run(3_000);
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn a_refused_configuration_is_told_and_the_one_in_force_stays() {
+fn a_refused_configuration_is_reported_and_the_one_in_force_stays() {
   let mut fleet = fleet();
   fleet.write_text("not a configuration".into());
   fleet.run(1_000);
@@ -310,7 +310,7 @@
 /// Only watchers read the store; the others must learn of a version that the watchers could not
 /// read.
 #[test]
-fn every_box_knows_of_a_version_that_was_refused() {
+fn every_box_learns_of_a_refused_version() {
   let mut fleet = fleet();
   fleet.run(3_000);
   fleet.write_text("unreadable 2".into());
@@ -340,7 +340,7 @@
 
 /// A version stays refused until it, or a later one, is held; meanwhile the refusal is logged.
 #[test]
-fn a_box_that_starts_says_as_the_others_do_that_a_version_is_refused() {
+fn a_starting_box_logs_a_refused_version_like_the_others() {
   let mut fleet = fleet();
   fleet.write_text("not a configuration".into());
   fleet.run(1_000);
@@ -379,7 +379,7 @@
 }
 
 #[test]
-fn a_box_says_why_the_store_does_not_serve_it() {
+fn a_box_logs_why_the_store_does_not_serve_it() {
   let mut fleet = fleet();
   fleet.unserved.extend((0..BOXES).map(Followers::box_id));
   fleet.run(1_000);
@@ -398,7 +398,7 @@
 
 /// Versions only increase, in whatever order they arrive.
 #[test]
-fn no_box_goes_back() {
+fn no_box_returns_to_an_older_version() {
   let mut fleet = fleet();
   fleet.write_version(7);
   fleet.run(1_000);
--- a/tests/old_reads.rs
+++ b/tests/old_reads.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_fleet_that_starts_anew_right_after_a_change_has_it_in_time() {
+fn a_fleet_that_restarts_right_after_a_change_has_it_in_time() {
   for forgets in [false, true] {
     let mut fleet = Followers::at_rest(BOXES);
     restart_after_change(&mut fleet, 0..BOXES);
@@ -47,7 +47,7 @@
 
 /// Watchers pass on the revision up to which they know all changes, so a wrong one misleads others.
 #[test]
-fn a_box_that_starts_anew_right_after_a_change_holds_nobody_up() {
+fn a_box_that_restarts_right_after_a_change_delays_no_other_box() {
   for index in 0..BOXES {
     let mut fleet = Followers::at_rest(BOXES);
     restart_after_change(&mut fleet, [index].into_iter());
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -124,7 +124,7 @@
 /// Detection must stay cheap for the store: a fleet of any size starts one watch every second and a
 /// half, and makes no other call for this purpose.
 #[test]
-fn watches_that_are_begun_anew_cost_the_store_less_than_a_call_a_second() {
+fn restarted_watches_cost_the_store_less_than_a_call_a_second() {
   let mut fleet = fleet(2_000);
   let before = fleet.watches_begun;
   fleet.run(30_000);
--- a/tests/standing_still.rs
+++ b/tests/standing_still.rs
@@ -21,7 +21,7 @@
 };
 
 /// Duration of the pause, in milliseconds.
-const STILL_MS: u64 = 5_000;
+const PAUSE_MS: u64 = 5_000;
 
 /// Clocks whose suspensions a test sets.
 #[derive(Default)]
@@ -54,9 +54,9 @@
 }
 
 /// Checks that the suspension is reported once, with its duration.
-fn check_told() {
-  let told = timer::stood_still().expect("it is reported").as_millis();
-  assert!((u128::from(STILL_MS)..u128::from(STILL_MS) + 500).contains(&told), "{told} ms");
+fn check_reported() {
+  let reported = timer::stood_still().expect("it is reported").as_millis();
+  assert!((u128::from(PAUSE_MS)..u128::from(PAUSE_MS) + 500).contains(&reported), "{reported} ms");
   assert_eq!(timer::stood_still(), None);
 }
 
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn whoever_waits_is_woken_where_the_time_is_over() {
+fn tasks_whose_time_is_over_are_woken() {
   run(async {
     let clocks = SetClocks::install();
     let began = std::time::Instant::now();
@@ -73,14 +73,14 @@
     let waiting =
       monoio::spawn(timer::timeout(Duration::from_secs(30), std::future::pending::<()>()));
     monoio::time::sleep(Duration::from_millis(50)).await;
-    clocks.suspend(STILL_MS);
-    check_told();
+    clocks.suspend(PAUSE_MS);
+    check_reported();
     sleeping.await;
     assert!(began.elapsed() < Duration::from_secs(1), "the four seconds were over");
-    clocks.suspend(STILL_MS);
+    clocks.suspend(PAUSE_MS);
     timer::stood_still();
     monoio::time::sleep(Duration::from_millis(20)).await;
-    clocks.suspend(6 * STILL_MS);
+    clocks.suspend(6 * PAUSE_MS);
     timer::stood_still();
     assert_eq!(waiting.await, Err(timer::Elapsed));
     assert!(began.elapsed() < Duration::from_secs(2));
@@ -88,13 +88,13 @@
 }
 
 #[test]
-fn a_wait_that_is_not_over_goes_on() {
+fn a_wait_that_is_not_over_continues() {
   run(async {
     let clocks = SetClocks::install();
     let began = timer::now();
     let sleeping = monoio::spawn(timer::sleep(Duration::from_millis(5_300)));
     monoio::time::sleep(Duration::from_millis(50)).await;
-    clocks.suspend(STILL_MS);
+    clocks.suspend(PAUSE_MS);
     timer::stood_still();
     sleeping.await;
     let waited = timer::now().saturating_sub(began);
@@ -103,13 +103,13 @@
 }
 
 #[test]
-fn a_measurement_across_a_suspension_says_nothing() {
+fn a_measurement_across_a_suspension_is_discarded() {
   let clocks = SetClocks::install();
   let stopwatch = Stopwatch::start();
   assert!(stopwatch.read().is_some());
-  clocks.suspend(STILL_MS);
+  clocks.suspend(PAUSE_MS);
   assert_eq!(stopwatch.read(), None, "before the pause was read elsewhere");
-  check_told();
+  check_reported();
   assert!(Stopwatch::start().read().is_some());
 }
 
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn runs_and_waits_across_it_do_not_count_as_long() {
+fn runs_and_waits_do_not_include_a_pause() {
   let mut limiter = Limiter::new(1, 8);
   let demand = || Demand {
     class: "caller".parse().expect("a name"),
@@ -137,8 +137,8 @@
   }
   let usual_ms = limiter.expected_wait_ms();
   limiter.arrive(now, Ticket(100), demand());
-  now = now.after(STILL_MS);
-  limiter.stood_still(STILL_MS);
+  now = now.after(PAUSE_MS);
+  limiter.stood_still(PAUSE_MS);
   limiter.leave(now.after(100), Ticket(100));
   assert!(limiter.expected_wait_ms().abs_diff(usual_ms) <= 1, "{}", limiter.expected_wait_ms());
 }
@@ -147,7 +147,7 @@
 /// since the last event rather than the last tick, links that ended during the pause would hide it,
 /// since their events come before the tick.
 #[test]
-fn a_follower_notices_it_whatever_it_hears_first() {
+fn a_follower_detects_a_pause_whatever_event_comes_first() {
   let moment = |ms: u64| Moment { time: Time(ms), unix_ms: ms };
   let timing = Timing { beat_ms: 1_000, lease_ttl_ms: 4_000, news_delay_ms: 100, push_delay_ms: 0 };
   let identity = Identity {
@@ -160,12 +160,13 @@
   for ms in (0..3_000).step_by(50) {
     follower.handle(moment(ms), Event::Tick);
   }
-  let back = 3_000 + STILL_MS;
-  let mut actions = follower.handle(moment(back), Event::LinkClosed { link: LinkId::default() });
-  actions.extend(follower.handle(moment(back + 10), Event::Tick));
-  let is_noticed =
+  let resumed_at = 3_000 + PAUSE_MS;
+  let mut actions =
+    follower.handle(moment(resumed_at), Event::LinkClosed { link: LinkId::default() });
+  actions.extend(follower.handle(moment(resumed_at + 10), Event::Tick));
+  let is_detected =
     |action: &Action| matches!(action, Action::Log(text) if text.contains("was paused for"));
-  assert!(actions.iter().any(is_noticed), "{actions:?}");
+  assert!(actions.iter().any(is_detected), "{actions:?}");
 }
 
 /// Boxes of the fleet in virtual time.
@@ -178,16 +179,16 @@
 /// Random boxes are paused at random moments of changes, also several at once and repeatedly. Their
 /// messages are queued meanwhile, and handled first when they resume.
 #[test]
-fn boxes_that_slept_hold_the_newest_version_soon_and_never_an_older_one() {
+fn paused_boxes_soon_hold_the_newest_version_and_never_an_older_one() {
   for seed in 0..40 {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut fleet = Followers::at_rest(BOXES);
     let mut held = [0; BOXES];
     let mut version = (0..BOXES).filter_map(|index| fleet.version(index)).max().unwrap_or(0);
     for _ in 0..4 {
-      let sleepers = rng.random_range(1..6);
-      let asleep = (0..sleepers).map(|_| Followers::box_id(rng.random_range(0..BOXES)));
-      fleet.frozen.extend(asleep.collect::<Vec<_>>());
+      let paused_boxes = rng.random_range(1..6);
+      let paused = (0..paused_boxes).map(|_| Followers::box_id(rng.random_range(0..BOXES)));
+      fleet.frozen.extend(paused.collect::<Vec<_>>());
       fleet.run(rng.random_range(0..2_000));
       version += rng.random_range(1..4);
       fleet.write_version(version);
--- a/tests/store_cost.rs
+++ b/tests/store_cost.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn at_rest_a_box_costs_its_lease_and_the_fleet_two_calls_a_second() {
+fn an_idle_box_costs_its_lease_and_the_fleet_two_calls_a_second() {
   let mut fleet = fleet();
   let calls = calls_a_box(&mut fleet, |fleet| fleet.run(60_000));
   // Leases of 4 s are renewed after 1.6 s, at a tenth of a call; all other calls are 100 for the
@@ -89,7 +89,7 @@
 /// A box that finds an entry missing notifies the others; they need not read the directory
 /// themselves.
 #[test]
-fn a_box_that_dies_is_gone_as_soon_as_its_lease_allows() {
+fn a_dead_box_is_lost_as_soon_as_its_lease_allows() {
   let mut fleet = fleet();
   fleet.stop(7);
   // Its lease of 4 s, the slot of a watcher, the time for a lapsed entry to be rewritten, and a
--- a/tests/store_eras.rs
+++ b/tests/store_eras.rs
@@ -45,7 +45,7 @@
 }
 
 /// Runs the fleet until all entries exist. Returns the duration in milliseconds.
-fn until_whole(fleet: &mut Followers, boxes: usize) -> u64 {
+fn run_until_entries_are_back(fleet: &mut Followers, boxes: usize) -> u64 {
   let began = fleet.now;
   while !missing(fleet, boxes).is_empty() {
     fleet.run(50);
@@ -56,12 +56,12 @@
 }
 
 /// Runs two restores in a row, each followed by a version whose revision had been issued before.
-fn drill(boxes: usize) {
+fn check_restores(boxes: usize) {
   let mut fleet = fleet(boxes);
   for round in 0..2 {
     fleet.go_back();
     let (before, began) = (fleet.store_tenths, fleet.now);
-    let back_ms = until_whole(&mut fleet, boxes);
+    let back_ms = run_until_entries_are_back(&mut fleet, boxes);
     fleet.run(ENTRIES_MS - back_ms);
     let calls = (fleet.store_tenths - before) / 10;
     assert!(calls <= CALLS_PER_BOX * boxes as u64, "{calls} calls in the first two seconds");
@@ -85,25 +85,25 @@
 }
 
 #[test]
-fn ten_boxes_are_whole_again_in_time() {
-  drill(10);
+fn ten_boxes_recover_in_time() {
+  check_restores(10);
 }
 
 #[test]
-fn sixty_one_boxes_are_whole_again_in_time() {
-  drill(61);
+fn sixty_one_boxes_recover_in_time() {
+  check_restores(61);
 }
 
 /// Every box of a large fleet writes a lease and an entry.
 #[test]
-fn a_large_fleet_is_whole_again_in_time() {
-  drill(195);
+fn a_large_fleet_recovers_in_time() {
+  check_restores(195);
 }
 
 /// A box that the store does not serve learns of the restore from its neighbours, which keep its
 /// entry.
 #[test]
-fn a_box_without_a_path_to_the_store_stays_known() {
+fn a_box_that_cannot_reach_the_store_stays_live() {
   const BOXES: usize = 10;
   let mut fleet = fleet(BOXES);
   fleet.unserved.insert(Followers::box_id(BOXES - 1));
@@ -126,8 +126,8 @@
   fleet.go_back();
   for _ in 0..100 {
     fleet.run(50);
-    let taken_back = (0..BOXES).filter(|from| fleet.sees_live(*from, 3)).collect::<Vec<_>>();
-    assert!(taken_back.is_empty(), "{taken_back:?}");
+    let live = (0..BOXES).filter(|from| fleet.sees_live(*from, 3)).collect::<Vec<_>>();
+    assert!(live.is_empty(), "{live:?}");
   }
   let entry = fleet.entry_of(3).expect("its entry");
   assert!(entry.text().is_ok_and(|text| text.contains("leaving")), "{entry:?}");
