--- a/src/distribution/follower/rollouts.rs
+++ b/src/distribution/follower/rollouts.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// Roll-outs: what this box hears of them, tells on, and writes into the store.
+/// Roll-outs: receives, forwards and stores their state.
 impl Follower {
-  /// An entry of the operators was read that is not the configuration.
+  /// Handles an entry of the operators other than the configuration.
   pub(super) fn note_order(&mut self, entry: &Entry) {
     let Some(service) = self.source.ordered_service(&entry.key) else {
       return;
@@ -11,55 +11,57 @@
     match read {
       Ok(order) if order.service == service => {
         self.log(format!(
-          "the operators order {service} to run {} within {} ms, at revision {}",
+          "the operators order {service} to run {} within {} ms at revision {}",
           order.target, order.duration_ms, entry.revision
         ));
         self.rollouts.ordered(self.now.time, &order, entry.revision);
       }
-      Ok(order) => self.log(format!("the order for {service} speaks of {}", order.service)),
+      Ok(order) => {
+        self.log(format!("the order for {service} names another service, {}", order.service));
+      }
       Err(reason) => self.log(format!("the order for {service} cannot be read: {reason}")),
     }
   }
 
-  /// An entry of the operators is gone.
+  /// Handles the removal of an operators' entry.
   pub(super) fn note_withdrawal(&mut self, key: &Key, revision: Revision) {
     if self.note_evacuation(key, revision, false) {
       return;
     }
     if let Some(service) = self.source.ordered_service(key) {
-      self.log(format!("the operators took back their order for {service}"));
+      self.log(format!("the operators withdrew their order for {service}"));
       let actions = self.rollouts.withdrawn(self.now.time, &service);
       self.carry_out(actions);
     }
   }
 
-  /// A record was read among the entries of the directory.
+  /// Handles a roll-out's record found among the entries of the directory.
   pub(super) fn note_rollout(&mut self, service: &ServiceName, entry: &Entry) {
     let (now, unix_ms) = (self.now.time, self.now.unix_ms);
     let actions = self.rollouts.found(now, unix_ms, service, entry);
     self.carry_out(actions);
   }
 
-  /// A neighbour told where a roll-out stands.
-  pub(super) fn rollout_told(&mut self, link: LinkId, word: &rollout::Word) {
-    let (is_new, actions) = self.rollouts.heard(self.now.time, word);
+  /// Handles a roll-out's state sent by a neighbour.
+  pub(super) fn rollout_received(&mut self, link: LinkId, update: &rollout::Word) {
+    let (is_new, actions) = self.rollouts.heard(self.now.time, update);
     if is_new && actions.is_empty() {
-      self.tell_rollout(word, Some(link));
+      self.send_rollout(update, Some(link));
     }
     self.carry_out(actions);
   }
 
-  /// A new neighbour is told of all roll-outs.
-  pub(super) fn tell_rollouts_to(&mut self, link: LinkId) {
-    for word in self.rollouts.words(self.now.time) {
-      self.send(link, Message::Rollout(Box::new(word)));
+  /// Sends the state of all roll-outs to a new neighbour.
+  pub(super) fn send_rollouts_to(&mut self, link: LinkId) {
+    for update in self.rollouts.words(self.now.time) {
+      self.send(link, Message::Rollout(Box::new(update)));
     }
   }
 
-  fn tell_rollout(&mut self, word: &rollout::Word, but: Option<LinkId>) {
+  fn send_rollout(&mut self, update: &rollout::Word, but: Option<LinkId>) {
     let links: Vec<LinkId> = self.links.keys().copied().filter(|link| Some(*link) != but).collect();
     for link in links {
-      self.send(link, Message::Rollout(Box::new(word.clone())));
+      self.send(link, Message::Rollout(Box::new(update.clone())));
     }
   }
 
@@ -70,14 +72,14 @@
           let call = self.call_store(request);
           self.rollout_calls.insert(call, service);
         }
-        RolloutAction::Changed => self.tell_traffic(),
+        RolloutAction::Changed => self.publish_traffic(),
         RolloutAction::Log(text) => self.log(text),
-        RolloutAction::Spread(word) => self.tell_rollout(&word, None),
+        RolloutAction::Spread(update) => self.send_rollout(&update, None),
       }
     }
   }
 
-  /// The store answered a call for a roll-out. Returns whether it was one.
+  /// Handles the store's answer to a roll-out's call. Returns whether the call was one.
   pub(super) fn rollout_answered(&mut self, call: u64, result: &store::Result<Reply>) -> bool {
     let Some(service) = self.rollout_calls.remove(&call) else {
       return false;
@@ -88,8 +90,8 @@
     true
   }
 
-  /// The proxies of this box are told what goes where, where that changed.
-  fn tell_traffic(&mut self) {
+  /// Publishes the shares of versions to this box's proxies if they changed.
+  fn publish_traffic(&mut self) {
     let traffic = self.rollouts.traffic();
     if self.traffic.as_ref() != Some(&traffic) {
       self.traffic = Some(traffic.clone());
@@ -97,16 +99,16 @@
     }
   }
 
-  /// News about boxes may tell which versions are in force.
-  pub(super) fn note_versions(&mut self, news: &[Endpoint]) {
-    // A box that knows only itself cannot tell what its fleet runs.
+  /// Derives from changed endpoints which versions are in force.
+  pub(super) fn note_versions(&mut self, updated: &[Endpoint]) {
+    // A box that knows only itself cannot derive what its fleet runs.
     if self.endpoints.present().nth(1).is_none() && self.directory_revision == Revision::default() {
       return;
     }
     let changed = std::mem::take(&mut self.changed_services);
     let is_first = self.traffic.is_none();
     let changed: BTreeSet<&ServiceName> =
-      news.iter().map(|endpoint| &endpoint.service).chain(&changed).collect();
+      updated.iter().map(|endpoint| &endpoint.service).chain(&changed).collect();
     let mut services: BTreeMap<&ServiceName, Vec<&Endpoint>> = BTreeMap::new();
     for endpoint in self.endpoints.present() {
       if is_first || changed.contains(&endpoint.service) {
@@ -117,7 +119,7 @@
       let view = view(&self.identity, self.now, endpoints);
       self.rollouts.note_endpoints(service, &view);
     }
-    self.tell_traffic();
+    self.publish_traffic();
   }
 
   pub(super) fn tick_rollouts(&mut self) {
@@ -133,31 +135,33 @@
     self.flush_evidence();
   }
 
-  /// How many boxes would decide a service's roll-out before this one; nothing where it cannot.
+  /// Number of boxes that take precedence over this one in deciding a service's roll-out; `None` if
+  /// it cannot decide.
   fn decider_rank(&self, service: &ServiceName) -> Option<u64> {
     if self.failing_since.is_some() || self.contact_at.is_none() {
       return None;
     }
     let rank = self.watchers.rank(&self.own.peer.box_id, service);
-    // Where no watcher lives that this box knows of, whoever watches the store decides.
+    // If this box knows of no live watcher, any box that watches the store decides.
     rank.or_else(|| self.must_watch().then(|| self.watchers.count() + 1))
   }
 
-  /// A box told what it saw of its backend server's answers.
-  pub(super) fn evidence_told(&mut self, from: Option<LinkId>, told: Vec<Evidence>) {
+  /// Handles a box's observations of its backend server's answers.
+  pub(super) fn evidence_received(&mut self, from: Option<LinkId>, received: Vec<Evidence>) {
     let now = self.now.time;
-    for evidence in told {
+    for evidence in received {
       if self.rollouts.observed(now, &evidence) {
-        self.evidence.push((from, evidence));
+        self.unsent_evidence.push((from, evidence));
       }
     }
   }
 
-  /// Tells on what was heard of backend servers' answers: watchers to each other, others to those that they
-  /// subscribe to. So those who may decide know all of it, and nobody else carries it.
+  /// Forwards observations of backend servers' answers: watchers to each other, other boxes to
+  /// those they subscribe to. Every box that may decide thus has all of them, and no other box
+  /// carries them.
   fn flush_evidence(&mut self) {
-    let heard = std::mem::take(&mut self.evidence);
-    if heard.is_empty() {
+    let unsent = std::mem::take(&mut self.unsent_evidence);
+    if unsent.is_empty() {
       return;
     }
     let is_watcher = self.watchers.is_one(&self.own.peer.box_id);
@@ -168,16 +172,16 @@
     let links = self.links.iter().filter(|(_, link)| leads_there(link));
     let links: Vec<LinkId> = links.map(|(id, _)| *id).collect();
     for link in links {
-      let told = heard.iter().filter(|(from, _)| *from != Some(link));
-      let told: Vec<Evidence> = told.map(|(_, evidence)| evidence.clone()).collect();
-      if !told.is_empty() {
-        self.send(link, Message::Evidence(told));
+      let forwarded = unsent.iter().filter(|(from, _)| *from != Some(link));
+      let forwarded: Vec<Evidence> = forwarded.map(|(_, evidence)| evidence.clone()).collect();
+      if !forwarded.is_empty() {
+        self.send(link, Message::Evidence(forwarded));
       }
     }
   }
 }
 
-/// What is known of a service's boxes, by a box that decides nothing.
+/// The view of a service's boxes for a box that decides nothing.
 fn view<'a>(identity: &'a Identity, now: Moment, endpoints: Vec<&'a Endpoint>) -> FleetView<'a> {
   FleetView {
     endpoints,
--- a/tests/store_eras.rs
+++ b/tests/store_eras.rs
@@ -1,23 +1,26 @@
-//! A store that comes back from a copy some seconds old, in virtual time, with fleets of any size.
+//! A store that is restored from a backup some seconds old, in virtual time, with fleets of any
+//! size.
 //!
-//! Seen on ten real daemons: entries of boxes that had joined since the copy stayed away for more than twenty seconds,
-//! for renewals kept alive the leases of others that had their numbers. The same on real processes is played by the
-//! soak's tests.
+//! On ten real daemons, entries of boxes that had joined since the backup stayed missing for more
+//! than twenty seconds, because renewals kept alive the leases of other boxes that had received the
+//! same numbers. The soak's tests run the same on real processes.
 
 mod support;
 
 use support::followers::Followers;
 
-/// Milliseconds after the store's return within which every entry is there again.
+/// Time, in milliseconds, after the restore within which every entry exists again.
 const ENTRIES_MS: u64 = 2_000;
 
-/// Milliseconds after its acceptance within which a version is in force.
+/// Time, in milliseconds, after its acceptance within which a version is in force.
 const APPLY_MS: u64 = 2_000;
 
-/// Calls a second that the store takes for each box of a fleet of 195: the fleets' stores have such rates.
+/// Calls a second that the store accepts for each box of a fleet of 195: the fleets' stores have
+/// such rate limits.
 const CALLS_PER_BOX: u64 = 16;
 
-/// A fleet at rest, a third of whose boxes joined after the copy was made, with a version that the copy lacks.
+/// Returns an idle fleet, a third of whose boxes joined after the backup, with a version that the
+/// backup lacks.
 fn fleet(boxes: usize) -> Followers {
   let before = boxes - boxes / 3;
   let mut fleet = Followers::at_rest(before);
@@ -30,39 +33,39 @@
   fleet
 }
 
-/// Boxes whose entry the store lacks.
+/// Returns the boxes whose entry the store lacks.
 fn missing(fleet: &mut Followers, boxes: usize) -> Vec<usize> {
   (0..boxes).filter(|index| fleet.entry_of(*index).is_none()).collect()
 }
 
-/// Boxes that some box does not hold for live; each is asked of a few.
+/// Returns the boxes that at least one of three sampled boxes does not consider live.
 fn not_live(fleet: &Followers, boxes: usize) -> Vec<usize> {
   let asked = [0, boxes / 2, boxes - 1];
   (0..boxes).filter(|to| !asked.iter().all(|from| fleet.sees_live(*from, *to))).collect()
 }
 
-/// Lets time pass until all entries are there. Returns after how many milliseconds.
-fn until_whole(fleet: &mut Followers, boxes: usize) -> u64 {
+/// Runs the fleet until all entries exist. Returns the duration in milliseconds.
+fn run_until_entries_are_back(fleet: &mut Followers, boxes: usize) -> u64 {
   let began = fleet.now;
   while !missing(fleet, boxes).is_empty() {
     fleet.run(50);
     let waited_ms = fleet.now - began;
-    assert!(waited_ms <= ENTRIES_MS, "entries stay away: {:?}", missing(fleet, boxes));
+    assert!(waited_ms <= ENTRIES_MS, "entries are still missing: {:?}", missing(fleet, boxes));
   }
   fleet.now - began
 }
 
-/// Two drills in a row, each followed by a version whose revision was given out before.
-fn drill(boxes: usize) {
+/// Runs two restores in a row, each followed by a version whose revision had been issued before.
+fn check_restores(boxes: usize) {
   let mut fleet = fleet(boxes);
   for round in 0..2 {
     fleet.go_back();
     let (before, began) = (fleet.store_tenths, fleet.now);
-    let back_ms = until_whole(&mut fleet, boxes);
+    let back_ms = run_until_entries_are_back(&mut fleet, boxes);
     fleet.run(ENTRIES_MS - back_ms);
     let calls = (fleet.store_tenths - before) / 10;
     assert!(calls <= CALLS_PER_BOX * boxes as u64, "{calls} calls in the first two seconds");
-    // Whoever reads the directory in the meantime takes nobody for gone, and no version goes back.
+    // A box that reads the directory meanwhile declares no box lost, and no version goes back.
     fleet.run(6_000);
     assert!(not_live(&fleet, boxes).is_empty(), "{:?}", not_live(&fleet, boxes));
     let newest = 2 + round;
@@ -75,31 +78,32 @@
     }
     let applied_ms = fleet.now - accepted;
     println!(
-      "{boxes} boxes, drill {round} at {began}: entries back after {back_ms} ms, {calls} calls in two seconds, \
+      "{boxes} boxes, restore {round} at {began}: entries back after {back_ms} ms, {calls} calls in two seconds, \
        the next version in force after {applied_ms} ms"
     );
   }
 }
 
 #[test]
-fn ten_boxes_are_whole_again_in_time() {
-  drill(10);
+fn ten_boxes_recover_in_time() {
+  check_restores(10);
 }
 
 #[test]
-fn sixty_one_boxes_are_whole_again_in_time() {
-  drill(61);
+fn sixty_one_boxes_recover_in_time() {
+  check_restores(61);
 }
 
 /// Every box of a large fleet writes a lease and an entry.
 #[test]
-fn a_large_fleet_is_whole_again_in_time() {
-  drill(195);
+fn a_large_fleet_recovers_in_time() {
+  check_restores(195);
 }
 
-/// A box that the store does not serve meanwhile hears of it from its neighbours, which keep its entry.
+/// A box that the store does not serve learns of the restore from its neighbours, which keep its
+/// entry.
 #[test]
-fn a_box_without_a_path_to_the_store_stays_known() {
+fn a_box_that_cannot_reach_the_store_stays_live() {
   const BOXES: usize = 10;
   let mut fleet = fleet(BOXES);
   fleet.unserved.insert(Followers::box_id(BOXES - 1));
@@ -112,7 +116,7 @@
   assert!(fleet.late(BOXES, 3).is_empty(), "{:?}", fleet.late(BOXES, 3));
 }
 
-/// What a box that leaves said last is there again, and it is not taken back.
+/// The last state of a leaving box is restored, and the box does not become live again.
 #[test]
 fn a_box_that_leaves_stays_leaving() {
   const BOXES: usize = 10;
@@ -122,8 +126,8 @@
   fleet.go_back();
   for _ in 0..100 {
     fleet.run(50);
-    let taken_back = (0..BOXES).filter(|from| fleet.sees_live(*from, 3)).collect::<Vec<_>>();
-    assert!(taken_back.is_empty(), "{taken_back:?}");
+    let live = (0..BOXES).filter(|from| fleet.sees_live(*from, 3)).collect::<Vec<_>>();
+    assert!(live.is_empty(), "{live:?}");
   }
   let entry = fleet.entry_of(3).expect("its entry");
   assert!(entry.text().is_ok_and(|text| text.contains("leaving")), "{entry:?}");
