--- a/src/fleet/backend_record.rs
+++ b/src/fleet/backend_record.rs
@@ -1,77 +1,75 @@
 use super::*;
 
-/// What a daemon knows of the backend server beside it, from what that one reports itself.
+/// What a daemon knows of its own backend server, from that server's reports and its health endpoint.
 ///
-/// A report may arrive late, from before a drain or from a process that has ended: the moment of their start
-/// orders processes, also under one id, and the sequence orders the reports of one process. A process that left
-/// is never taken back. A process that this life of the daemon has not seen yet may have left before it: its
-/// report alone is not believed. The health endpoint must name it, or it must go on reporting while the one
-/// that runs says nothing.
+/// Reports may arrive late, from before a drain or from a process that has ended. Start times order processes, even
+/// under one id, and the sequence orders the reports of one process. A process that left is never taken back. A
+/// process that this incarnation of the daemon hasn't seen may have left earlier, so one report isn't enough: its
+/// health endpoint must name it, or it must keep reporting while the running process is silent.
 #[derive(Clone, Debug, Default)]
 pub struct BackendRecord {
-  /// A process that reported and is not believed yet. Never the running one.
+  /// A process that reported and isn't confirmed yet. Never the running process.
   candidate: Option<Candidate>,
-  /// Whether the process may have turned cold without a word, so that the health endpoint should be asked.
+  /// Whether the process may have turned cold without a report, so that the health endpoint should be asked.
   cold_in_doubt: bool,
-  /// Until when the process is slow, for it started a moment ago.
+  /// The end of the warm-up, during which the process is slow.
   cold_until: Time,
-  /// Whether any process said when it started. All of a fleet do, or none does.
+  /// Whether any process reported its start time. Either all processes of a fleet do or none does.
   knows_births: bool,
-  /// Processes that are gone or on their way out, oldest first.
+  /// Processes that left or are leaving, oldest first.
   left: VecDeque<Process>,
   /// The running process.
   process: Option<Process>,
   sequence: u64,
-  /// The service that it reports.
+  /// The service that the process reported.
   service: Option<ServiceName>,
   /// Requests that it runs at once, as reported.
   slots: Option<u32>,
   /// The version of its software, as reported.
   software: Option<SoftwareVersion>,
-  /// How many processes were taken for the running one, after the first.
+  /// How many processes have replaced the running one.
   starts: u32,
   state: BackendState,
 }
 
-/// A process whose reports are not confirmed.
+/// A process that isn't confirmed as the running one.
 #[derive(Clone, Debug)]
 struct Candidate {
-  /// When its first report came.
+  /// When its first report arrived.
   first_at: Time,
   /// Its newest report.
   report: BackendReport,
-  /// How many reports came, each newer than the one before it.
+  /// The number of reports, each newer than the one before it.
   reports: u32,
 }
 
-/// Whether the backend server takes work.
+/// Whether a backend server takes work.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum BackendState {
   /// It takes work.
   Ready,
-  /// It finishes what it has.
+  /// It finishes its requests and takes none.
   Leaving,
-  /// Nothing was heard from it yet, or its address refuses connections.
+  /// It hasn't reported yet, or its address refuses connections.
   #[default]
   Unknown,
 }
 
 impl BackendRecord {
-  /// Processes that left and are remembered, far more than can have reports under way.
+  /// How many processes that left are remembered; far more than can have reports in flight.
   const LEFT_MAX: usize = 16;
 
-  /// Reports after which a process is believed although no health endpoint names it. Late ones come one
-  /// or two at a time.
+  /// The reports that confirm a process without the health endpoint. Late reports arrive one or two at a time.
   const REPORTS_MIN: u32 = 3;
 
-  /// Milliseconds over which these must come: what was held up comes at once, and by then the health endpoint
-  /// was asked a few times.
+  /// The least milliseconds over which these reports must arrive. Delayed reports arrive all at once, and by this time
+  /// the health endpoint has been asked a few times.
   const REPORTS_OVER_MS: u64 = 1_000;
 
-  /// Takes in a report.
+  /// Handles a report.
   pub fn reported(&mut self, now: Time, report: &BackendReport) -> Heard {
     if report.process.born.is_none() && self.knows_births {
-      return Heard::Foreign("it does not say when its process started");
+      return Heard::Foreign("the report lacks the start time of its process");
     }
     if self.has_left(&report.process) {
       return Heard::Late;
@@ -85,18 +83,18 @@
 
   fn running_reported(&mut self, now: Time, report: &BackendReport) -> Heard {
     if self.service.as_ref().is_some_and(|service| *service != report.service) {
-      return Heard::Foreign("the process serves another service");
+      return Heard::Foreign("the process reported another service before");
     }
     if report.sequence <= self.sequence {
       return Heard::Late;
     }
-    // Whoever else reported meanwhile is not the one that runs.
+    // Another process that reported meanwhile is not the running one.
     self.candidate = None;
     self.take(now, report);
     Heard::News
   }
 
-  /// A process that is not the running one says that it leaves.
+  /// Handles a report of another process than the running one that it is leaving.
   fn leaving_reported(&mut self, now: Time, report: &BackendReport) -> Heard {
     let is_successor = self
       .process
@@ -111,7 +109,7 @@
     if self.is_former(&report.process) { Heard::Late } else { Heard::News }
   }
 
-  /// A process that is not the running one says that it is ready.
+  /// Handles a report of another process than the running one that it is ready.
   fn candidate_reported(&mut self, now: Time, report: &BackendReport) -> Heard {
     let same = |candidate: &&Candidate| candidate.report.process == report.process;
     let known = self.candidate.as_ref().filter(same);
@@ -128,14 +126,14 @@
     Heard::News
   }
 
-  /// A process is believed to be the running one.
+  /// Makes the reporting process the running one.
   fn adopt(&mut self, now: Time, report: &BackendReport) {
     self.candidate = None;
     self.replace(report.process.clone());
     self.take(now, report);
   }
 
-  /// Takes over what the running process reports.
+  /// Applies a report of the running process.
   fn take(&mut self, now: Time, report: &BackendReport) {
     self.knows_births |= report.process.born.is_some();
     self.process = Some(report.process.clone());
@@ -145,13 +143,13 @@
     self.service = Some(report.service.clone());
     self.slots = Some(report.slots);
     self.software.clone_from(&report.software);
-    // A process that leaves does not come back, whatever a report says.
+    // A process that is leaving never becomes ready again.
     if self.state != BackendState::Leaving {
       self.state = if report.leaving { BackendState::Leaving } else { BackendState::Ready };
     }
   }
 
-  /// A process said that it goes.
+  /// Handles the deregistration of a process.
   pub fn deregistered(&mut self, process: &Process) {
     let Some(running) = self.process.clone().filter(|running| running.may_be(process)) else {
       self.candidate.take_if(|candidate| candidate.report.process.may_be(process));
@@ -162,13 +160,14 @@
     self.remember_left(Process { born, id: running.id });
   }
 
-  /// The process may be cold for so long, and has not told.
+  /// Assumes that the process is cold for `cold_ms` milliseconds until it reports or answers a health check.
   pub fn may_be_cold(&mut self, now: Time, cold_ms: u64) {
     self.cold_until = self.cold_until.max(now.after(cold_ms));
     self.cold_in_doubt = cold_ms > 0;
   }
 
-  /// The health endpoint answered that a process with this id is well, and how long it stays cold where it told.
+  /// Handles a health check that found a process with this id. `cold_ms` is its remaining warm-up in milliseconds, if
+  /// reported.
   pub fn probed(&mut self, now: Time, id: &InstanceId, cold_ms: Option<u64>) {
     self.take_probe(now, id);
     let is_running = self.process.as_ref().is_some_and(|running| running.id == *id);
@@ -190,7 +189,7 @@
     if self.process.as_ref().is_none_or(|running| running.id != *id) {
       return;
     }
-    // Whoever else reported is not the one that runs, but for one that bears its id.
+    // Another process that reported is not the running one, unless it has the same id.
     if !is_former {
       self.candidate = None;
     }
@@ -199,22 +198,22 @@
     }
   }
 
-  /// Whether a process bore the running one's id before it: the health endpoint cannot tell them apart.
+  /// Whether a process had the running one's id before it. The health endpoint can't distinguish the two.
   fn is_former(&self, process: &Process) -> bool {
     let is_same_id = |running: &Process| running.id == process.id && process.is_before(running);
     self.process.as_ref().is_some_and(is_same_id)
   }
 
-  /// Whether the health endpoint should be asked which process runs.
+  /// Whether the health endpoint should be asked for the running process and its warm-up.
   pub fn is_in_doubt(&self) -> bool {
     self.candidate.is_some() || self.cold_in_doubt || self.state == BackendState::Unknown
   }
 
-  /// The address refuses connections, or another process answers there.
+  /// Handles a refused connection to the backend server, or an answer from another process.
   pub fn vanished(&mut self) {
     if self.state == BackendState::Ready {
       self.state = BackendState::Unknown;
-      // The next process may bear the same id, and tells by nothing that it is another one.
+      // The next process may have the same id, and without start times it can't be distinguished.
       if !self.knows_births {
         self.sequence = 0;
       }
@@ -224,7 +223,7 @@
   fn replace(&mut self, process: Process) {
     if let Some(former) = self.process.replace(process) {
       self.starts = self.starts.saturating_add(1);
-      // Where both say when they started, that orders them, also where they were mistaken for each other.
+      // Two processes with start times stay ordered even if the wrong one was taken for the running one.
       if former.born.is_none() || self.state == BackendState::Leaving {
         self.remember_left(former);
       }
@@ -235,7 +234,7 @@
     self.software = None;
   }
 
-  /// Whether a process is known to have left. What is known by its id alone may be a later one.
+  /// Whether exactly this process is known to have left. One known by id only may be a later process.
   fn has_left(&self, process: &Process) -> bool {
     self.left.contains(process)
   }
@@ -250,37 +249,37 @@
     self.left.push_back(process);
   }
 
-  /// The running process, as far as known.
+  /// The running process, if known.
   pub fn process(&self) -> Option<&Process> {
     self.process.as_ref()
   }
 
-  /// Whether the process is still slow from its start.
+  /// Whether the process is still warming up.
   pub fn is_cold(&self, now: Time) -> bool {
     now < self.cold_until
   }
 
-  /// The service that the backend server reported last.
+  /// The service that the running process reported.
   pub fn service(&self) -> Option<&ServiceName> {
     self.service.as_ref()
   }
 
-  /// Requests that it runs at once, as it reported.
+  /// The number of requests that it runs at once, as reported.
   pub fn slots(&self) -> Option<u32> {
     self.slots
   }
 
-  /// The version of its software, as it reported.
+  /// Its software version, as reported.
   pub fn software(&self) -> Option<&SoftwareVersion> {
     self.software.as_ref()
   }
 
-  /// How many processes followed the first one, in this life of the daemon.
+  /// How many processes followed the first one in this incarnation of the daemon.
   pub fn starts(&self) -> u32 {
     self.starts
   }
 
-  /// Whether it takes work.
+  /// The state of the backend server.
   pub fn state(&self) -> BackendState {
     self.state
   }
--- a/src/fleet/backend_report.rs
+++ b/src/fleet/backend_report.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-/// One report of a backend server.
+/// A report of a backend server to its daemon.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct BackendReport {
-  /// Milliseconds for which the process is still slow from its start.
+  /// The remaining warm-up of the process, in milliseconds.
   pub cold_left_ms: u64,
-  /// Whether it is on its way out.
+  /// Whether the process is shutting down.
   pub leaving: bool,
   /// The process that reports.
   pub process: Process,
@@ -13,8 +13,8 @@
   pub sequence: u64,
   /// The service that it serves.
   pub service: ServiceName,
-  /// Requests that it runs at once.
+  /// The number of requests that it runs at once.
   pub slots: u32,
-  /// The version of its software, where it tells one.
+  /// Its software version, if reported.
   pub software: Option<SoftwareVersion>,
 }
--- a/src/fleet/endpoint.rs
+++ b/src/fleet/endpoint.rs
@@ -1,56 +1,56 @@
 use super::*;
 
-/// The newest news about one box and its backend server.
+/// The newest known status of a box and its backend server.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Endpoint {
-  /// How many processes of the backend server followed the first one of this life. What was learned of one says
-  /// nothing of the next.
+  /// How many processes of the backend server followed the first one of this incarnation. What was learned about one
+  /// process doesn't apply to the next.
   #[serde(rename = "b", default, skip_serializing_if = "is_zero")]
   pub backend_starts: u32,
-  /// What the box found out last about requests under which processes of its backend server ended.
+  /// The box's latest findings about requests that ran when a process of its backend server crashed.
   #[serde(rename = "e", default, skip_serializing_if = "Vec::is_empty")]
   pub findings: Vec<RunFinding>,
-  /// Megabits a second of the box's network link; 0 where that is not known.
+  /// The speed of the box's network link in megabits a second; 0 if unknown.
   #[serde(rename = "m", default, skip_serializing_if = "is_zero")]
   pub link_mbps: u32,
-  /// Where the daemon takes requests from other daemons.
+  /// The address at which the daemon accepts requests of other daemons.
   #[serde(rename = "f")]
   pub forward_address: SocketAddr,
-  /// Which life of the box the news is about.
+  /// The incarnation of the box.
   #[serde(rename = "i")]
   pub incarnation: Incarnation,
-  /// The box and where its daemon takes links.
+  /// The box and the address at which its daemon accepts links.
   #[serde(rename = "p")]
   pub peer: Peer,
-  /// The region that the box stands in.
+  /// The region of the box.
   #[serde(rename = "g")]
   pub region: Region,
-  /// The relay that the box is subscribed to; itself where it is a relay.
+  /// The relay that the box is subscribed to; the box itself if it is a relay.
   #[serde(rename = "r")]
   pub relay: Option<BoxId>,
-  /// Grows within one life with each change that the box itself announces.
+  /// Grows with each change that the box announces in one incarnation.
   #[serde(rename = "q")]
   pub sequence: u64,
   /// The service that the backend server serves.
   #[serde(rename = "s")]
   pub service: ServiceName,
-  /// Requests that the backend server runs at once.
+  /// The number of requests that the backend server runs at once.
   #[serde(rename = "n")]
   pub slots: u32,
-  /// The version of the backend server's software; nothing where it has not told that yet.
+  /// The backend server's software version, or `None` if it hasn't been reported yet.
   #[serde(rename = "v", default, skip_serializing_if = "Option::is_none")]
   pub software: Option<SoftwareVersion>,
-  /// What the backend server can do.
+  /// The state of the backend server.
   #[serde(rename = "t")]
   pub state: EndpointState,
 }
 
 impl Endpoint {
-  /// Findings that a box tells of: those of the last crashes, so that a daemon that starts knows of them too. A
-  /// crash names a dozen requests, in about 120 bytes.
+  /// The most findings sent with a box's status. They cover the last crashes, so that a starting daemon learns of them.
+  /// A crash names a dozen requests, in about 120 bytes.
   const FINDINGS_MAX: usize = 8;
 
-  /// The box found something out about requests that ran there.
+  /// Adds a finding of this box about requests that ran on it.
   pub fn add_finding(&mut self, finding: RunFinding) {
     if let RunOutcome::Survived(survivors) = &finding.what {
       self.forget_crashes_of(survivors);
@@ -61,7 +61,7 @@
     self.findings.push(finding);
   }
 
-  /// What ran to its end here is not told as a suspect any more.
+  /// Removes requests that have since completed on this box from the crash suspects.
   fn forget_crashes_of(&mut self, survivors: &[Fingerprint]) {
     for finding in &mut self.findings {
       if let RunOutcome::Crashed(suspects) = &mut finding.what {
@@ -70,10 +70,10 @@
     }
   }
 
-  /// Whether this news replaces `other` about the same box.
+  /// Whether this status replaces `other` of the same box.
   ///
-  /// A later life wins. Within one life leaving wins over everything, then the later
-  /// announcement; and a loss wins over the announcement that it is about.
+  /// A later incarnation takes precedence. Within one incarnation, leaving takes precedence over everything, then the
+  /// later announcement does; a loss takes precedence over the announcement that it refers to.
   pub fn is_newer_than(&self, other: &Self) -> bool {
     let rank = |endpoint: &Self| {
       (
@@ -86,14 +86,14 @@
     rank(self) > rank(other)
   }
 
-  /// A number that differs, but for chance, where two pieces of news differ.
+  /// A hash that differs, barring collisions, between different statuses.
   fn fingerprint(&self) -> u32 {
     let text =
       format!("{} {} {} {}", self.peer.box_id, self.incarnation, self.sequence, self.state);
     Digest::of(text.as_bytes()).prefix()
   }
 
-  /// What the entry adds to the fingerprint of a table.
+  /// The entry's contribution to the fingerprint of a table; 0 if the box is gone.
   pub(super) fn share(&self) -> u32 {
     if self.state.is_gone() { 0 } else { self.fingerprint() }
   }
--- a/src/fleet/endpoint_state.rs
+++ b/src/fleet/endpoint_state.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-/// What a backend server can do.
+/// Whether a box's backend server takes work.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EndpointState {
-  /// Finishes the work it has and takes none; may come back.
+  /// Finishes its requests and takes none; may take work again.
   Draining,
-  /// Stops for good: this life of the box takes no work again.
+  /// Stops for good: this incarnation of the box takes no more work.
   Leaving,
   /// Takes work.
   Live,
-  /// Its relay no longer hears from the box.
+  /// The box's relay no longer receives messages from it.
   Lost,
 }
 
--- a/src/fleet/endpoint_table.rs
+++ b/src/fleet/endpoint_table.rs
@@ -1,22 +1,22 @@
 use super::*;
 
-/// The newest news about every box, in the order that incarnations give.
+/// The newest known status of every box.
 ///
-/// Merging is commutative and idempotent, so news may arrive late, twice and by several ways.
+/// Merging is commutative and idempotent, so a status may arrive late, twice and over several paths.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointTable {
   entries: BTreeMap<BoxId, Endpoint>,
   /// The exclusive or of the entries' shares.
   fingerprint: u32,
-  /// When a box was found gone, so that it can be forgotten later.
+  /// When a box was found to be gone, for its expiry.
   gone_since: BTreeMap<BoxId, Time>,
 }
 
 impl EndpointTable {
-  /// Milliseconds for which a gone box is remembered, so that late news does not revive it.
+  /// Milliseconds for which a gone box is remembered, so that a late status doesn't revive it.
   pub const GONE_KEPT_MS: u64 = 600_000;
 
-  /// Forgets boxes that have long been gone. Returns whether there were any.
+  /// Removes boxes that have been gone for longer than [`Self::GONE_KEPT_MS`]. Returns whether there were any.
   pub fn expire(&mut self, now: Time) -> bool {
     let old = |since: &Time| now.since_ms(*since) > Self::GONE_KEPT_MS;
     let expired: Vec<BoxId> =
@@ -28,12 +28,12 @@
     !expired.is_empty()
   }
 
-  /// Equal tables have equal fingerprints; gone boxes do not count.
+  /// The fingerprint of the table. Equal tables have equal fingerprints; gone boxes don't count.
   pub fn fingerprint(&self) -> u32 {
     self.fingerprint
   }
 
-  /// The newest news about a box.
+  /// The newest known status of a box.
   pub fn get(&self, box_id: &BoxId) -> Option<&Endpoint> {
     self.entries.get(box_id)
   }
@@ -48,7 +48,7 @@
     self.iter().filter(|endpoint| !endpoint.state.is_gone())
   }
 
-  /// Takes in `endpoint` where it is newer than what is known. Returns whether it was.
+  /// Merges `endpoint` if it is newer than the known status. Returns whether it was.
   pub fn merge(&mut self, now: Time, endpoint: Endpoint) -> bool {
     let box_id = endpoint.peer.box_id.clone();
     let known = self.entries.get(&box_id);
--- a/src/fleet/heard.rs
+++ b/src/fleet/heard.rs
@@ -1,10 +1,10 @@
-/// What a report of a backend server came to.
+/// How a backend server's report was handled.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Heard {
-  /// Another writer sent it: it says nothing of any process here.
+  /// Ignored, as it doesn't come from a process of this backend server.
   Foreign(&'static str),
-  /// It is older than what is known.
+  /// Ignored, as it is older than what is known.
   Late,
-  /// It told something.
+  /// It had new content.
   News,
 }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The fleet: boxes, the data halls they stand in, and what is known of each backend server.
+//! The fleet: boxes, their data halls, and the known status of each backend server.
 
 use super::*;
 
--- a/src/fleet/peer.rs
+++ b/src/fleet/peer.rs
@@ -1,14 +1,14 @@
 use super::*;
 
-/// A box with the address where its daemon takes links.
+/// A box and the address of its daemon.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Peer {
-  /// Where the daemon takes links from other daemons.
+  /// The address at which the daemon accepts links of other daemons.
   pub address: SocketAddr,
   /// The box.
   #[serde(rename = "box")]
   pub box_id: BoxId,
-  /// The data hall that the box stands in.
+  /// The data hall of the box.
   pub data_hall: DataHall,
 }
--- a/src/fleet/run_finding.rs
+++ b/src/fleet/run_finding.rs
@@ -1,24 +1,24 @@
 use super::*;
 
-/// What the daemon beside a backend server found out about requests that ran there. It goes through the fleet with
-/// the news about its box, and is taken in once by each daemon.
+/// A daemon's finding about requests that ran on its backend server. It spreads through the fleet with the status of
+/// its box, and each daemon applies it once.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct RunFinding {
-  /// A random number, which tells it apart from all others. A box that starts anew keeps its findings with it.
+  /// A random id. A restarted box keeps its findings under their ids.
   #[serde(rename = "n")]
   pub id: u64,
-  /// What was found.
+  /// The requests and how they ended.
   #[serde(rename = "w")]
   pub what: RunOutcome,
 }
 
-/// How requests ended at a backend server.
+/// How requests on a backend server ended.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub enum RunOutcome {
-  /// The process ended without a word while it ran them.
+  /// The process crashed while it ran these requests.
   #[serde(rename = "c")]
   Crashed(Vec<Fingerprint>),
-  /// They ran to their end, though processes had ended while they ran.
+  /// These requests completed, although processes had crashed while running them before.
   #[serde(rename = "s")]
   Survived(Vec<Fingerprint>),
 }
--- a/src/fleet/service_endpoints.rs
+++ b/src/fleet/service_endpoints.rs
@@ -1,21 +1,21 @@
 use super::*;
 
-/// The boxes of each service, as the proxies of a daemon look them up.
+/// The boxes of each service, for lookups by the proxies of a daemon.
 ///
-/// What one box's news changes costs a look at its own service.
+/// An update of one box touches only the boxes of its service.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceEndpoints {
-  /// Boxes that are there, with the service under which they stand.
+  /// The present boxes, with their services.
   by_box: BTreeMap<BoxId, ServiceName>,
   by_service: BTreeMap<ServiceName, Rc<Vec<Endpoint>>>,
-  /// Boxes that take work.
+  /// The number of boxes that take work.
   live: usize,
-  /// Boxes that were lost and may live: nobody heard that they left.
+  /// Lost boxes. They may still run, as they didn't announce that they left.
   lost: BTreeSet<BoxId>,
 }
 
 impl ServiceEndpoints {
-  /// Takes in the newest news about a box.
+  /// Updates a box from its newest status.
   pub fn take(&mut self, endpoint: &Endpoint) {
     let box_id = &endpoint.peer.box_id;
     self.remove(box_id);
@@ -50,33 +50,33 @@
     }
   }
 
-  /// The boxes of a service that are there, in no order.
+  /// Returns the present boxes of a service, in no particular order.
   pub fn of(&self, service: &ServiceName) -> Rc<Vec<Endpoint>> {
     self.by_service.get(service).cloned().unwrap_or_default()
   }
 
-  /// A box that is there.
+  /// Returns a present box.
   pub fn find(&self, box_id: &BoxId) -> Option<&Endpoint> {
     let service = self.by_box.get(box_id)?;
     self.by_service.get(service)?.iter().find(|one| one.peer.box_id == *box_id)
   }
 
-  /// Boxes that are there.
+  /// Returns the present boxes.
   pub fn boxes(&self) -> impl Iterator<Item = &BoxId> {
     self.by_box.keys()
   }
 
-  /// How many boxes are there, or may be.
+  /// The number of present and lost boxes.
   pub fn count(&self) -> usize {
     self.by_box.len() + self.lost.len()
   }
 
-  /// How many boxes take work.
+  /// The number of boxes that take work.
   pub fn live(&self) -> usize {
     self.live
   }
 
-  /// How many boxes were lost and may live.
+  /// The number of lost boxes, which may still run.
   pub fn lost(&self) -> usize {
     self.lost.len()
   }
--- a/src/organisations/allotment.rs
+++ b/src/organisations/allotment.rs
@@ -1,31 +1,34 @@
 use super::*;
 
-/// What a daemon holds of one organisation's tokens, and who waits for some.
+/// The tokens of one organisation held by this daemon, and the requests that wait for tokens.
+///
+/// `W` is the handle that wakes a waiting request.
 #[derive(Clone, Debug)]
 pub struct Allotment<W> {
+  /// The rate of the organisation's requests at this daemon.
   pub(super) demand: DemandMeter,
-  /// Whether the ledger is being asked.
+  /// Whether a draw from the ledger is in progress.
   pub(super) is_drawing: bool,
-  /// Tokens that were drawn ahead. Worthless from `kept_until` on, for the ledger has given out others since.
+  /// Prefetched tokens. Void from `kept_until` on, as the ledger gives out new ones by then.
   tokens: u64,
   kept_until: Time,
-  /// Until when requests are refused without asking, and when they may come back.
+  /// The time until which requests are refused without asking the ledger, and their retry delay in milliseconds.
   pub(super) refused: Option<(Time, u64)>,
-  /// Stands in for the ledger where that cannot be reached.
+  /// The local bucket used while the ledger is unreachable.
   pub(super) spare: Option<TokenBucket>,
-  /// When the ledger may be asked again.
+  /// The time until which an unreachable ledger isn't asked.
   pub(super) unreachable_until: Time,
-  /// Requests that wait for the ledger's answer, the first one first.
+  /// Requests that wait for the ledger's answer, oldest first.
   pub(super) waiting: VecDeque<W>,
 }
 
 impl<W> Allotment<W> {
-  /// Seconds of demand that are drawn ahead. A daemon with fewer requests than ten a second draws for each.
+  /// Seconds of demand that are prefetched. A daemon with fewer than ten requests a second draws for each request.
   const AHEAD_S: f64 = 0.1;
-  /// The part of what is drawn ahead below which more is drawn, so that requests need not wait for it.
+  /// The fraction of the prefetch below which more tokens are drawn, so that requests needn't wait.
   const LOW_PART: f64 = 0.5;
 
-  /// Takes a token that was drawn ahead.
+  /// Takes a prefetched token. Returns whether there was one.
   pub fn take(&mut self, now: Time) -> bool {
     if now >= self.kept_until {
       self.tokens = 0;
@@ -35,7 +38,7 @@
     has_one
   }
 
-  /// Adds tokens.
+  /// Adds tokens, and renews the lifetime of all that are held.
   pub fn put(&mut self, now: Time, tokens: u64) {
     if now >= self.kept_until {
       self.tokens = 0;
@@ -44,7 +47,7 @@
     self.kept_until = now.after(TOKENS_KEPT_MS);
   }
 
-  /// Tokens to draw now: for those who wait, and ahead where many come.
+  /// The number of tokens to draw now: for the waiting requests, and as a prefetch under high demand.
   #[allow(clippy::cast_possible_truncation, clippy::cast_precision_loss, clippy::cast_sign_loss)]
   pub fn wanted(&self, now: Time) -> u64 {
     let held = if now < self.kept_until { self.tokens } else { 0 };
--- a/src/organisations/demand_meter.rs
+++ b/src/organisations/demand_meter.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// How many requests come a second, by the last few seconds.
+/// An exponentially decaying average of the request rate over the last few seconds.
 #[derive(Clone, Debug, Default)]
 pub struct DemandMeter {
   at: Time,
@@ -8,17 +8,17 @@
 }
 
 impl DemandMeter {
-  /// Milliseconds after which a request counts a third of what it did.
+  /// The decay time: after this many milliseconds a request counts about a third (1/e).
   const MEMORY_MS: f64 = 1_000.0;
 
-  /// So many requests come.
+  /// Records requests that arrive at `now`.
   #[allow(clippy::cast_precision_loss)]
   pub fn note(&mut self, now: Time, requests: u64) {
     self.per_s = self.per_s(now) + requests as f64 * 1_000.0 / Self::MEMORY_MS;
     self.at = now;
   }
 
-  /// Requests a second.
+  /// The rate in requests per second at `now`.
   #[allow(clippy::cast_precision_loss)]
   pub fn per_s(&self, now: Time) -> f64 {
     self.per_s * (-(now.since_ms(self.at) as f64) / Self::MEMORY_MS).exp()
--- a/src/organisations/grant.rs
+++ b/src/organisations/grant.rs
@@ -1,8 +1,8 @@
-/// What the ledger of an organisation gives a daemon.
+/// The ledger's answer to a daemon's draw.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Grant {
-  /// Milliseconds after which callers that got no token may come back.
+  /// The retry delay in milliseconds for callers that got no token.
   pub retry_after_ms: u64,
-  /// Requests that the daemon may admit soon.
+  /// The number of requests that the daemon may admit within the token lifetime.
   pub tokens: u64,
 }
--- a/src/organisations/keepers.rs
+++ b/src/organisations/keepers.rs
@@ -1,17 +1,17 @@
 use super::*;
 
-/// Which box keeps the ledger of each organisation: the one with the highest hash of both names. So all daemons that
-/// know the same boxes agree, and a box that comes or goes moves its own share of the ledgers only.
+/// Assigns the ledger of each organisation to a box by rendezvous hashing: the box with the highest hash of both
+/// names owns it. Daemons that know the same boxes agree, and a box that joins or leaves moves only its own ledgers.
 #[derive(Clone, Debug, Default)]
 pub struct Keepers {
-  /// Boxes that are there, with the hashes of their names.
+  /// The present boxes, with the hashes of their names.
   boxes: BTreeMap<BoxId, u64>,
-  /// When the boxes changed last.
+  /// When the set of boxes last changed.
   changed_at: Time,
 }
 
 impl Keepers {
-  /// A box is there from now on, or is not.
+  /// Records whether a box is present.
   pub fn note(&mut self, now: Time, box_id: &BoxId, is_there: bool) {
     let changes = if is_there {
       self.boxes.insert(box_id.clone(), hash(box_id.as_str())).is_none()
@@ -23,19 +23,19 @@
     }
   }
 
-  /// The box that keeps an organisation's ledger; nothing where no box is known.
+  /// Returns the box that owns an organisation's ledger, or `None` if no box is known.
   pub fn keeper(&self, organisation: &OrganisationName) -> Option<&BoxId> {
     let seed = hash(organisation.as_str());
     let best = self.boxes.iter().max_by_key(|(_, hash)| mix(*hash ^ seed));
     best.map(|(box_id, _)| box_id)
   }
 
-  /// How many boxes are there.
+  /// The number of present boxes.
   pub fn count(&self) -> usize {
     self.boxes.len()
   }
 
-  /// When the boxes changed last: until then another box may have kept a ledger.
+  /// When the set of boxes last changed. Until then another box may have owned a ledger.
   pub fn changed_at(&self) -> Time {
     self.changed_at
   }
@@ -47,7 +47,7 @@
   u64::from_be_bytes(first.try_into().expect("eight bytes"))
 }
 
-/// Spreads the bits of a number over all of it.
+/// Mixes the bits of a number.
 fn mix(number: u64) -> u64 {
   const FACTOR: u64 = 0xff51_afd7_ed55_8ccd;
   let folded = (number ^ (number >> 33)).wrapping_mul(FACTOR);
--- a/src/organisations/key_fault.rs
+++ b/src/organisations/key_fault.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-/// Why a request proves no organisation where it must.
+/// Why a request can't be assigned to an organisation although keys are required.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum KeyFault {
-  /// It carries no key.
+  /// The request carries no key.
   Missing,
-  /// No organisation holds its key.
+  /// No organisation holds the request's key.
   Unknown,
 }
 
--- a/src/organisations/key_ring.rs
+++ b/src/organisations/key_ring.rs
@@ -2,29 +2,29 @@
 
 /// The keys of all organisations in one version of the configuration.
 ///
-/// A key is found by its digest, so how long that takes tells nothing of the keys that are held.
+/// Keys are looked up by digest, so the lookup time reveals nothing about the stored keys.
 #[derive(Clone, Debug, Default)]
 pub struct KeyRing {
-  /// Whether there are organisations, also where none of them holds a key any more.
+  /// Whether any organisation is configured, even if none of them holds a key.
   is_needed: bool,
   members: BTreeMap<KeyDigest, Rc<Member>>,
 }
 
-/// What is known of the organisation of a caller.
+/// The settings of a caller's organisation.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Member {
   /// The organisation.
   pub organisation: OrganisationName,
-  /// The rank of its requests, where it has one.
+  /// The priority of its requests, if configured.
   pub priority: Option<u32>,
-  /// What it may ask for; any number of requests where absent.
+  /// Its rate limit; unlimited if `None`.
   pub rate_limit: Option<RateLimit>,
-  /// The regions in which its requests may be served; any where empty.
+  /// The regions in which its requests may be served; all regions if empty.
   pub regions: BTreeSet<Region>,
 }
 
 impl KeyRing {
-  /// The keys of a configuration.
+  /// Builds the key ring of a configuration.
   pub fn new(configuration: &Configuration) -> Self {
     let mut members = BTreeMap::new();
     for (name, organisation) in &configuration.organisations {
@@ -40,19 +40,23 @@
     Self { is_needed: !configuration.organisations.is_empty(), members }
   }
 
-  /// Whether requests need a key.
+  /// Whether requests must carry a key.
   pub fn is_needed(&self) -> bool {
     self.is_needed
   }
 
-  /// The organisation whose key a request carries, as the value of its `Authorization`.
+  /// Returns the organisation that holds the key in the request's `Authorization` header.
+  ///
+  /// # Errors
+  ///
+  /// Fails if the header holds no bearer key or if no organisation holds the key.
   pub fn identify(&self, authorization: Option<&HeaderValue>) -> Result<Rc<Member>, KeyFault> {
     let key = authorization.and_then(|value| bearer(value.as_bytes())).ok_or(KeyFault::Missing)?;
     self.members.get(&KeyDigest::of(key)).cloned().ok_or(KeyFault::Unknown)
   }
 }
 
-/// The key in `Bearer KEY`.
+/// Extracts the key from `Bearer KEY`.
 fn bearer(value: &[u8]) -> Option<&[u8]> {
   const SCHEME: &[u8] = b"bearer ";
   let (scheme, key) = value.split_at_checked(SCHEME.len())?;
--- a/src/organisations/ledger.rs
+++ b/src/organisations/ledger.rs
@@ -1,22 +1,23 @@
 use super::*;
 
-/// The ledger of one organisation, at the daemon that keeps it.
+/// The token ledger of one organisation, held by the daemon that owns it.
 #[derive(Clone, Debug)]
 pub struct Ledger {
   bucket: TokenBucket,
-  /// Tokens that were asked for and not there.
+  /// The rate of tokens that were asked for and not available.
   unmet: DemandMeter,
 }
 
 impl Ledger {
-  /// The part of the burst that a new ledger holds: the one before it may have given out all of it a moment ago.
+  /// The fraction of the burst that a new ledger starts with. Its previous owner may have just given out all
+  /// of it.
   const FIRST_PART: f64 = 0.1;
-  /// Milliseconds after which a caller without a token comes back at the earliest.
+  /// The shortest retry delay of a caller without a token, in milliseconds.
   const RETRY_MIN_MS: f64 = 100.0;
-  /// Milliseconds after which a caller without a token comes back at the latest.
+  /// The longest retry delay of a caller without a token, in milliseconds.
   const RETRY_MAX_MS: f64 = 5_000.0;
 
-  /// A ledger that nobody else can have kept for `alone_ms`.
+  /// Creates a ledger that no other box can have owned for the last `alone_ms` milliseconds.
   #[allow(clippy::cast_precision_loss)]
   pub fn new(now: Time, limit: RateLimit, alone_ms: u64) -> Self {
     let earned = limit.rate.requests_per_s() * alone_ms as f64 / 1_000.0;
@@ -25,7 +26,7 @@
     Self { bucket: TokenBucket::new(now, tokens), unmet: DemandMeter::default() }
   }
 
-  /// Gives out up to so many tokens of the `share` of the limit that this ledger may give out.
+  /// Gives out up to `wanted` tokens. `share` is the fraction of the limit that this ledger may give out.
   #[allow(clippy::cast_possible_truncation, clippy::cast_precision_loss, clippy::cast_sign_loss)]
   pub fn draw(&mut self, now: Time, limit: RateLimit, share: f64, wanted: u64) -> Grant {
     let per_s = limit.rate.requests_per_s() * share;
@@ -37,7 +38,7 @@
     Grant { retry_after_ms, tokens }
   }
 
-  /// Tokens that it holds at most. One at least, or no request would ever pass.
+  /// The capacity in tokens. At least one, or no request would ever be admitted.
   #[allow(clippy::cast_precision_loss)]
   fn most(limit: RateLimit, share: f64) -> f64 {
     let spent_late = limit.rate.requests_per_s() * TOKENS_KEPT_MS as f64 / 1_000.0;
--- a/src/organisations/mod.rs
+++ b/src/organisations/mod.rs
@@ -1,8 +1,8 @@
-//! Organisations: which of them a caller belongs to, by its key, and how much each may ask of the whole fleet.
+//! Organisations: identifies a caller's organisation by its key and enforces fleet-wide rate limits.
 //!
-//! All of it is pure. A rate limit counts over all daemons together, so one daemon keeps the ledger of each
-//! organisation, found by a hash over the boxes that are there. The others draw tokens from it: one for a request
-//! where few come, some ahead where many do. A daemon that cannot reach the ledger spends an equal share of the limit.
+//! This module does no I/O. A rate limit applies to all daemons together. One daemon, found by a hash over the present
+//! boxes, owns the token ledger of an organisation. The others draw tokens from it: one per request under low demand,
+//! and a prefetch under high demand. A daemon that can't reach the ledger spends an equal share of the limit.
 
 use super::*;
 
@@ -20,8 +20,8 @@
   allotment::Allotment, demand_meter::DemandMeter, ledger::Ledger, token_bucket::TokenBucket,
 };
 
-/// Milliseconds for which a daemon may spend what it drew from a ledger. Meanwhile the ledger gives out others, so it
-/// holds so much less than the whole burst.
+/// Milliseconds for which a daemon may spend the tokens that it drew. The ledger gives out others meanwhile, so its
+/// capacity is the burst less the tokens of this time.
 const TOKENS_KEPT_MS: u64 = 200;
 
 mod allotment;
--- a/src/organisations/rate_limits.rs
+++ b/src/organisations/rate_limits.rs
@@ -1,85 +1,84 @@
 use super::*;
 
-/// The rate limits of organisations at one daemon: the ledgers that it keeps, and what it holds of the tokens of
-/// others.
+/// The rate limits of organisations at one daemon: the ledgers that it owns, and the tokens that it holds.
 ///
-/// `W` is whatever wakes a request that waits.
+/// `W` is the handle that wakes a waiting request.
 #[derive(Clone, Debug)]
 pub struct RateLimits<W> {
   allotments: BTreeMap<OrganisationName, Allotment<W>>,
   keepers: Keepers,
   ledgers: BTreeMap<OrganisationName, Ledger>,
-  /// Boxes that may spend tokens and are not there: they may be cut off, and go on by themselves.
+  /// The number of lost boxes. They may be partitioned and still spend tokens on their own.
   lost: usize,
 }
 
-/// What becomes of a request of an organisation.
+/// Whether a request of an organisation is admitted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Admission {
-  /// It may go on.
+  /// The request is within the limit.
   Admitted,
-  /// The organisation asks for more than it may.
+  /// The organisation exceeds its limit.
   Refused {
-    /// Milliseconds after which to come back.
+    /// The retry delay in milliseconds.
     retry_after_ms: u64,
   },
 }
 
-/// What happens to a request that arrives.
+/// The result of a request's arrival.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Arrived {
-  /// Its admission; nothing while it waits to be woken.
+  /// The request's admission, or `None` if it waits for the ledger.
   pub admission: Option<Admission>,
-  /// Tokens to be drawn from the ledger now; nothing where that is not needed or under way.
+  /// The number of tokens to draw from the ledger now, or `None` if no draw is needed or one is in progress.
   pub draw: Option<u64>,
 }
 
-/// What follows from the ledger's answer.
+/// The result of a draw from the ledger.
 #[derive(Clone, Debug)]
 pub struct Woken<W> {
-  /// Tokens to be drawn for requests that came meanwhile.
+  /// The number of tokens to draw for requests that arrived meanwhile.
   pub draw: Option<u64>,
-  /// Requests that need not wait any more.
+  /// Requests that no longer wait, with their admissions.
   pub settled: Vec<(W, Admission)>,
 }
 
 impl<W> RateLimits<W> {
-  /// Milliseconds for which requests are refused without asking after the ledger had too few tokens.
+  /// Milliseconds for which requests are refused without asking the ledger after it had too few tokens.
   const REFUSED_MS: u64 = 50;
-  /// Milliseconds after which callers come back whose daemon cannot reach the ledger.
+  /// The retry delay in milliseconds of callers that are refused while the ledger is unreachable.
   const SPARE_RETRY_MS: u64 = 500;
-  /// Seconds of its part of the rate that a daemon saves up for when it cannot reach the ledger.
+  /// The capacity of the fallback bucket, in seconds of the daemon's share of the rate.
   const SPARE_S: f64 = 0.25;
-  /// Milliseconds for which a ledger that did not answer is not asked.
+  /// Milliseconds for which a ledger that did not answer isn't asked again.
   const UNREACHABLE_MS: u64 = 500;
 
-  /// A box is there from now on, or is not.
+  /// Records whether a box is present.
   pub fn note_box(&mut self, now: Time, box_id: &BoxId, is_there: bool) {
     self.keepers.note(now, box_id, is_there);
   }
 
-  /// So many boxes are lost, and may spend tokens.
+  /// Sets the number of lost boxes, which may still spend tokens.
   pub fn set_lost(&mut self, lost: usize) {
     self.lost = lost;
   }
 
-  /// Forgets all boxes.
+  /// Removes all boxes.
   pub fn forget_boxes(&mut self) {
     self.keepers = Keepers::default();
   }
 
-  /// Forgets organisations that have no limit any more.
+  /// Removes organisations that no longer have a limit, except for tokens that requests wait for.
   pub fn retain(&mut self, is_limited: impl Fn(&OrganisationName) -> bool) {
     self.allotments.retain(|name, one| !one.waiting.is_empty() || is_limited(name));
     self.ledgers.retain(|name, _| is_limited(name));
   }
 
-  /// The box that keeps an organisation's ledger.
+  /// Returns the box that owns an organisation's ledger.
   pub fn keeper(&self, organisation: &OrganisationName) -> Option<&BoxId> {
     self.keepers.keeper(organisation)
   }
 
-  /// A request arrives. `waiter` is kept where it has to wait, and dropped otherwise.
+  /// Handles the arrival of a request. `waiter` is stored if the request has to wait, and dropped otherwise.
   pub fn arrive(
     &mut self,
     now: Time,
@@ -106,7 +105,7 @@
     Arrived { admission: None, draw: allotment.draw(now) }
   }
 
-  /// The ledger answered a draw of `wanted` tokens, or nothing came.
+  /// Handles the ledger's answer to a draw of `wanted` tokens; `grant` is `None` if no answer came.
   pub fn drawn(
     &mut self,
     now: Time,
@@ -140,7 +139,7 @@
     Woken { draw, settled }
   }
 
-  /// A daemon draws tokens from the ledger that this one keeps.
+  /// Draws tokens, for any daemon, from a ledger that this daemon owns.
   pub fn draw(
     &mut self,
     now: Time,
@@ -156,14 +155,14 @@
     ledger.draw(now, limit, share, wanted)
   }
 
-  /// A request that was admitted reached no backend server: its token serves another one.
+  /// Returns the token of an admitted request that reached no backend server.
   pub fn give_back(&mut self, now: Time, organisation: &OrganisationName) {
     if let Some(allotment) = self.allotments.get_mut(organisation) {
       allotment.put(now, 1);
     }
   }
 
-  /// The part of a limit that each daemon spends where it cannot reach the ledger.
+  /// The fraction of a limit that each daemon may spend while it can't reach the ledger.
   fn equal_share(&self) -> f64 {
     ratio(1, (self.keepers.count() + self.lost).max(1))
   }
@@ -177,7 +176,7 @@
 }
 
 impl<W> Allotment<W> {
-  /// Starts a draw where one is due. Returns how many tokens to ask for.
+  /// Starts a draw if one is due. Returns the number of tokens to draw.
   fn draw(&mut self, now: Time) -> Option<u64> {
     let wanted = self.wanted(now);
     if self.is_drawing || wanted == 0 || now < self.unreachable_until {
@@ -187,10 +186,10 @@
     Some(wanted)
   }
 
-  /// Decides without the ledger. The first request passes, so that a small organisation is served.
+  /// Decides from the fallback bucket. The first request is admitted, so that a small organisation is served.
   fn spend_spare(&mut self, now: Time, limit: RateLimit, share: f64) -> Admission {
     let per_s = limit.rate.requests_per_s() * share;
-    // The ledger may have given out the whole burst a moment ago.
+    // Holds no burst, as the ledger may have just given it out.
     let most = (per_s * RateLimits::<W>::SPARE_S).max(1.0);
     let spare = self.spare.get_or_insert_with(|| TokenBucket::new(now, most));
     spare.fill(now, per_s, most);
--- a/src/rollout/evidence_book.rs
+++ b/src/rollout/evidence_book.rs
@@ -1,7 +1,6 @@
 use super::*;
 
-/// What is known of the answers of each backend server of a service, over the last seconds and since the roll-out
-/// began.
+/// The answer counts of each backend server of a service, over the last seconds and since the rollout began.
 #[derive(Clone, Debug, Default)]
 pub(super) struct EvidenceBook {
   boxes: BTreeMap<BoxId, Known>,
@@ -10,18 +9,18 @@
 #[derive(Clone, Debug)]
 struct Known {
   heard_at: Time,
-  /// What was known before, oldest first.
+  /// Earlier tallies with the time they were received, oldest first.
   former: VecDeque<(Time, Rc<BTreeMap<RouteName, Tally>>)>,
   newest: Evidence,
 }
 
 impl EvidenceBook {
-  /// Milliseconds between two of the words that are kept of a box.
+  /// The least milliseconds between two retained samples of a box.
   const KEPT_EACH_MS: u64 = 250;
-  /// Milliseconds for which former words are kept.
+  /// Milliseconds for which earlier samples are retained.
   const KEPT_MS: u64 = 3_000;
 
-  /// Takes in what a box says. Returns whether it was new.
+  /// Records the evidence of a box. Returns whether it is new.
   pub(super) fn hear(&mut self, now: Time, evidence: &Evidence) -> bool {
     let Some(known) = self.boxes.get_mut(&evidence.box_id) else {
       let known = Known { heard_at: now, former: VecDeque::new(), newest: evidence.clone() };
@@ -35,7 +34,7 @@
     true
   }
 
-  /// What each box that runs a version saw over the last `window_ms`; since the beginning where none is given.
+  /// The tallies of each box that runs a version, over the last `window_ms` or since the rollout began if `None`.
   pub(super) fn tallies(
     &self,
     now: Time,
@@ -46,23 +45,23 @@
     of_version.map(|known| known.over(now, window_ms)).collect()
   }
 
-  /// Whether a box was heard of within the last `age_ms`.
+  /// Whether evidence of a box came within the last `age_ms`.
   pub(super) fn is_fresh(&self, now: Time, box_id: &BoxId, age_ms: u64) -> bool {
     self.boxes.get(box_id).is_some_and(|known| now.since_ms(known.heard_at) <= age_ms)
   }
 
-  /// Answers of a box that failed since the beginning.
+  /// Failed answers of a box since the rollout began.
   pub(super) fn failures(&self, box_id: &BoxId) -> u32 {
     let tallies = self.boxes.get(box_id).map(|known| known.newest.tallies.values());
     tallies.into_iter().flatten().map(|tally| tally.failures).sum()
   }
 
-  /// Whether a box said a moment ago that nothing runs at its backend server, and nothing will.
+  /// Whether a box reported within the last `age_ms` that its backend server runs no requests and will run none.
   pub(super) fn is_closed(&self, now: Time, box_id: &BoxId, age_ms: u64) -> bool {
     self.is_fresh(now, box_id, age_ms) && self.boxes[box_id].newest.closed
   }
 
-  /// Boxes that run a version and were heard of within the last `age_ms`.
+  /// Boxes that run a version and sent evidence within the last `age_ms`.
   pub(super) fn fresh_of(&self, now: Time, software: &SoftwareVersion, age_ms: u64) -> Vec<&BoxId> {
     let is_of =
       |known: &&Known| known.newest.software == *software && now.since_ms(known.heard_at) <= age_ms;
--- a/src/rollout/judge.rs
+++ b/src/rollout/judge.rs
@@ -1,42 +1,44 @@
-//! Whether a new version answers worse than the one in force, by the same routes at the same time.
+//! Detects whether a new version answers worse than the one in force, comparing the same routes over the same time.
 
 use super::*;
 
-/// Added to the share of failures from which a version counts as bad. Below that a backend server or two in trouble
-/// of their own make the difference.
+/// The increase of the failure share from which a version is bad. One or two faulty backend servers cause smaller
+/// differences.
 const FAILURES_MORE: f64 = 0.08;
-/// Answers that failed, or were slow, on a route before any conclusion.
+/// The least failed or slow answers on a route for a conclusion.
 const BAD_MIN: u32 = 5;
-/// The share of failures that is assumed of the version in force where it got no requests of a route.
+/// The failure share assumed of the version in force on a route where it has too few answers.
 const FAILURES_ASSUMED: f64 = 0.05;
-/// Failures on a route that the version in force got too few requests of before any conclusion.
+/// The least failures for a conclusion on a route where the version in force has too few answers.
 const FAILURES_MIN_ALONE: u32 = 12;
-/// Answers of the version in force from which its own share is believed.
+/// The least answers of the version in force for its own failure share to be used.
 const ANSWERS_MIN: u32 = 10;
-/// The share of the answers of the version in force that may be slower than what counts as slow.
+/// The largest share of the answers of the version in force that may count as slow.
 const SLOW_USUAL: f64 = 0.02;
-/// The share of slow answers that any version is granted: few of many answers are slow by chance alone.
+/// The share of slow answers tolerated of any version: a few of many answers are slow by chance.
 const SLOW_GRANTED: f64 = 0.05;
-/// Added to that share, from which a version counts as bad: a machine of half the speed makes less of it.
+/// The increase of the slow share from which a version is bad. A machine of half the speed causes less.
 const SLOW_MORE: f64 = 0.15;
-/// Timed runs of a version on a route before any conclusion.
+/// The least timed runs of a version on a route for a conclusion.
 const TIMED_MIN: u32 = 8;
-/// How many times slower a version must be altogether to count as bad, as a power of two: more than a full, or a
-/// slower, machine makes of the same software.
+/// The base-2 logarithm of the slowdown from which a version is bad. Exceeds what a busy or slower machine does to
+/// the same software.
 const SLOWER_POWER: f64 = 1.3;
-/// How many times slower it must be for certain, as a power of two.
+/// The base-2 logarithm of the slowdown that must remain after subtracting the error margin.
 const SLOWER_CERTAINLY_POWER: f64 = 0.6;
-/// The standard deviation of the power of two of a time that is assumed: backend servers of different speeds, and
-/// requests whose work spreads by factors.
+/// The assumed standard deviation of the base-2 logarithm of a duration. Backend servers differ in speed and
+/// requests differ in work by factors.
 const POWER_DEVIATION: f64 = 1.45;
-/// Standard errors by which a difference must exceed chance. Several routes are looked at several times a second.
+/// The standard errors by which a difference must exceed chance. High, because several routes are compared several
+/// times a second.
 const ERRORS: f64 = 3.5;
-/// One backend server in so many is left out of the new version's account, the worst ones, and one at least where
-/// there are several: their trouble may be their own, a version's shows on all.
+/// One in this many backend servers of the new version, the worst ones, is left out, and at least one where there are
+/// several. Their faults may be their own; a fault of the version shows on all.
 const LEFT_OUT: usize = 5;
 
-/// Why a version is bad, from what boxes of the version in force and of the new one saw; nothing where it is not
-/// known to be. Times are compared where all of it is of the same seconds: a burst makes any version slower.
+/// Returns why the new version is bad, or `None` without evidence of that. Takes the tallies of each box of the
+/// version in force and of the new one. Durations are compared only over the same seconds, as a burst slows down any
+/// version.
 pub(super) fn judge(
   base: &[BTreeMap<RouteName, Tally>],
   target: &[BTreeMap<RouteName, Tally>],
@@ -74,11 +76,11 @@
   let now = Share { bad: new.failures, of: new.answers };
   now.exceeds(usual, FAILURES_MORE).then(|| {
     let (failures, answers, usual) = (new.failures, new.answers, usual.part());
-    format!("{failures} of {answers} answers failed, against a share of {usual:.3} before")
+    format!("{failures} of {answers} answers failed, compared with a share of {usual:.3} before")
   })
 }
 
-/// A part of the answers takes much longer than nearly all answers of the version in force.
+/// Detects that a part of the answers takes much longer than nearly all answers of the version in force.
 fn is_slow_more_often(old: &Tally, new: &[Tally]) -> Option<String> {
   if old.timed() < TIMED_MIN {
     return None;
@@ -92,13 +94,13 @@
   exceeds.then(|| {
     let (slow, timed, from_ms) = (now.bad, now.of, 1u64 << power);
     format!(
-      "{slow} of {timed} answers took {from_ms} ms or longer, against a share of {:.3} before",
+      "{slow} of {timed} answers took {from_ms} ms or longer, compared with a share of {:.3} before",
       usual.part()
     )
   })
 }
 
-/// All answers take longer.
+/// Detects that answers take longer on average.
 fn is_slower(old: &Tally, new: &[Tally]) -> Option<String> {
   let new = sum(&without_worst(new, Tally::mean_power));
   let (old_timed, timed) = (old.timed(), new.timed());
@@ -111,7 +113,7 @@
   is_worse.then(|| format!("{timed} answers took {:.1} times as long", more.exp2()))
 }
 
-/// Bad ones of so many.
+/// A number of bad answers out of `of`.
 #[derive(Clone, Copy, Debug)]
 struct Share {
   bad: u32,
@@ -119,7 +121,7 @@
 }
 
 impl Share {
-  /// What is assumed where nothing was seen, as if it were known from many answers.
+  /// A share that is assumed without data, weighted like one from 100 answers.
   fn assumed(part: f64) -> Self {
     const MANY: f64 = 100.0;
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
@@ -131,7 +133,7 @@
     f64::from(self.bad) / f64::from(self.of.max(1))
   }
 
-  /// Whether it exceeds another share by more than `more`, and not by chance.
+  /// Whether it exceeds another share by more than `more` and by more than chance explains.
   fn exceeds(self, usual: Self, more: f64) -> bool {
     let difference = self.part() - usual.part();
     let pooled = f64::from(self.bad + usual.bad) / f64::from((self.of + usual.of).max(1));
@@ -149,7 +151,7 @@
   sum
 }
 
-/// The tallies but for those of the worst backend servers.
+/// Returns the tallies without those of the worst backend servers.
 fn without_worst(tallies: &[Tally], badness: impl Fn(&Tally) -> f64) -> Vec<Tally> {
   let mut kept: Vec<Tally> = tallies.iter().filter(|tally| tally.answers > 0).copied().collect();
   kept.sort_by(|one, other| badness(one).total_cmp(&badness(other)));
--- a/src/rollout/lane.rs
+++ b/src/rollout/lane.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Which of a service's versions a request is meant for while a roll-out goes on.
+/// The version of a service that a request is routed to during a rollout.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Lane {
   /// The version in force.
--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -1,8 +1,8 @@
-//! Moving the traffic of a service to another version of its software: who decides, how much of the traffic goes
-//! where, and what shows whether the new version is good.
+//! Rollouts: moving a service's traffic to another version of its software. Covers which box decides, how the traffic
+//! is split, and how a bad version is detected.
 //!
-//! All of it is pure. [`Rollouts`] is a box's state machine for this: `distribution` hands it what is heard, and
-//! carries out the [`RolloutAction`]s that it returns. `docs/design/rollouts.md` weighs the ways.
+//! This module does no I/O. [`Rollouts`] is a box's state machine: `distribution` passes it the messages received and
+//! carries out the [`RolloutAction`]s that it returns. `docs/design/rollouts.md` compares the alternatives.
 
 use super::*;
 
--- a/src/rollout/observer.rs
+++ b/src/rollout/observer.rs
@@ -1,31 +1,31 @@
 use super::*;
 
-/// Counts what the backend server beside the daemon answers while a roll-out of its service goes on.
+/// Counts the answers of the daemon's own backend server during a rollout of its service.
 #[derive(Clone, Debug, Default)]
 pub struct Observer {
-  /// The roll-out that the counts are about.
+  /// The rollout that the counts belong to.
   ordered_at: Option<Revision>,
   sequence: u64,
   tallies: BTreeMap<RouteName, Tally>,
 }
 
 impl Observer {
-  /// Routes that are counted, the first ones that are met: one word of a box has to stay small.
+  /// The most routes that are counted, first come first served. Keeps the evidence messages small.
   const ROUTES_MAX: usize = 24;
 
-  /// Counts for a roll-out from now on; for none where none goes on.
+  /// Starts counting for a rollout, or stops if `None`. Keeps the counts of an unchanged rollout.
   pub fn watch(&mut self, ordered_at: Option<Revision>) {
     if self.ordered_at != ordered_at {
       *self = Self { ordered_at, sequence: self.sequence, tallies: BTreeMap::new() };
     }
   }
 
-  /// Another process of the backend server runs: what was counted says nothing of it.
+  /// Drops the counts, as they don't apply to a new process of the backend server.
   pub fn forget(&mut self) {
     self.tallies.clear();
   }
 
-  /// A run on a route ended. Its time says something only of a backend server that is warm.
+  /// Counts a run on a route. `took_ms` is its duration, given only for a backend server that is warm.
   pub fn ran(&mut self, route: &RouteName, failed: bool, took_ms: Option<u64>) {
     let is_counted = self.tallies.contains_key(route) || self.tallies.len() < Self::ROUTES_MAX;
     if self.ordered_at.is_some() && is_counted {
@@ -33,7 +33,7 @@
     }
   }
 
-  /// What to tell of a backend server; nothing where no roll-out goes on.
+  /// Returns the evidence to send, or `None` without a rollout or while the version is unknown.
   pub fn tell(&mut self, of: &Endpoint, closed: bool) -> Option<Evidence> {
     let (ordered_at, software) = self.ordered_at.zip(of.software.clone())?;
     self.sequence += 1;
--- a/src/rollout/order.rs
+++ b/src/rollout/order.rs
@@ -1,15 +1,15 @@
 use super::*;
 
-/// An operator's order to move the traffic of a service to another version of its software.
+/// An operator's order to move a service's traffic to another software version.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Order {
-  /// Milliseconds within which it should be done, or undone.
+  /// Milliseconds within which the rollout should be completed or rolled back.
   #[serde(rename = "d")]
   pub duration_ms: u64,
   /// The service.
   #[serde(rename = "s")]
   pub service: ServiceName,
-  /// The version that the service should run.
+  /// The version to roll out.
   #[serde(rename = "t")]
   pub target: SoftwareVersion,
 }
--- a/src/rollout/pending_call.rs
+++ b/src/rollout/pending_call.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-/// A call to the store that is under way for a roll-out.
+/// A store call in progress for a rollout.
 #[derive(Clone, Debug)]
 pub(super) enum PendingCall {
-  /// What the store holds is read.
+  /// Reads the stored record.
   Read,
-  /// A record is written.
+  /// Writes this record.
   Write(Record),
 }
--- a/src/rollout/plan.rs
+++ b/src/rollout/plan.rs
@@ -1,35 +1,36 @@
-//! The rungs by which a new version gets more requests.
+//! The steps in which a new version gets more requests.
 
 use super::*;
 
-/// One rung.
+/// One canary step.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Rung {
-  /// Requests in a thousand; nothing where a few boxes get as many as each would once all requests go there.
+  /// The share in requests per thousand. `None` if a few boxes get the load that each box will have once all requests
+  /// go to the new version.
   pub(super) permille: Option<u32>,
-  /// The part of the order's time until which it lasts.
+  /// When the step ends, as a fraction of the order's duration.
   pub(super) until_part: f64,
 }
 
 impl Rung {
-  /// First a few requests to each backend server, which show a version that fails, is slow, is bad on one route, or
-  /// turns bad after some seconds. Then as many to a few of them as each will get, which show one that is bad under
-  /// load, while most requests are still safe. Then larger shares, soon one after the other.
+  /// First, each backend server gets a few requests; this reveals a version that fails, is slow, is bad on one route
+  /// or turns bad after some seconds. Then a few backend servers get their full load; this reveals a version that is
+  /// bad under load while most requests are still safe. Larger shares follow quickly.
   pub(super) const ALL: [Self; 4] = [
     Self { permille: Some(40), until_part: 0.38 },
     Self { permille: None, until_part: 0.52 },
     Self { permille: Some(250), until_part: 0.58 },
     Self { permille: Some(500), until_part: 0.64 },
   ];
-  /// The first rung on which most of the new backend servers get many requests.
+  /// The index of the first step in which most of the new backend servers get many requests.
   pub(super) const FIRST_LARGE: usize = 2;
-  /// The share that a few boxes get, at most, in requests in a thousand. In a small fleet one box alone would take
-  /// more than a bad version may receive.
+  /// The largest share of the step with full load, in requests per thousand. In a small fleet one box alone would
+  /// exceed what a bad version may receive.
   const LOADED_PERMILLE_MAX: u32 = 150;
-  /// One box in so many takes as many requests as each will get.
+  /// One in this many boxes gets its full load.
   const LOADED_PART: usize = 12;
 
-  /// The share of the requests on the rung with this index, among the boxes of the new version, the soundest first.
+  /// The canary of the step with this index. `live` holds the boxes of the new version, fewest failures first.
   pub(super) fn canary(rung: usize, live: &[&Endpoint]) -> Canary {
     match Self::ALL[rung].permille {
       Some(permille) => Canary { boxes: BTreeSet::new(), permille, rung },
--- a/src/rollout/record.rs
+++ b/src/rollout/record.rs
@@ -1,24 +1,24 @@
 use super::*;
 
-/// Where the roll-out of a service stands. It lies in the store, and goes from box to box.
+/// The state of a service's rollout, held in the store and sent between boxes.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Record {
-  /// The version in force when the order came; nothing where no backend server told one.
+  /// The version in force when the order came, or `None` if no backend server had reported one.
   #[serde(rename = "b", default, skip_serializing_if = "Option::is_none")]
   pub base: Option<SoftwareVersion>,
-  /// The box that decides.
+  /// The box that decides on the next step.
   #[serde(rename = "x")]
   pub decider: BoxId,
-  /// What was ordered.
+  /// The operator's order.
   #[serde(rename = "o")]
   pub order: Order,
-  /// The store's revision of the order, which tells orders of one service apart.
+  /// The store's revision of the order, which distinguishes the orders of a service.
   #[serde(rename = "r")]
   pub ordered_at: Revision,
-  /// When the order was heard of, in milliseconds since 1970, for boxes that start later.
+  /// When the order was first known, in milliseconds since 1970, for boxes that start later.
   #[serde(rename = "u")]
   pub ordered_unix_ms: u64,
-  /// How far it has come.
+  /// The current stage.
   #[serde(rename = "g")]
   pub stage: Stage,
   /// Grows with each change of the record of one order.
@@ -29,8 +29,8 @@
 impl Record {
   /// Whether this record replaces `other` of the same service.
   ///
-  /// A later order wins. Within one order its end wins, for the store lets only one happen; then a halt, so that
-  /// no step that was decided beside it sends requests to a version that somebody found bad; then the later step.
+  /// A later order takes precedence. Within one order, a final stage does, as the store admits only one; then a
+  /// halt, so that no concurrent step sends requests to a version that a box found bad; then the later step.
   pub fn is_newer_than(&self, other: &Self) -> bool {
     let rank = |record: &Self| {
       (record.ordered_at, record.stage.is_final(), record.stage.is_undone(), record.step)
@@ -38,14 +38,14 @@
     rank(self) > rank(other)
   }
 
-  /// The record that follows this one.
+  /// Returns the following record, with this stage.
   #[must_use]
   pub fn next(&self, stage: Stage) -> Self {
     Self { stage, step: self.step + 1, ..self.clone() }
   }
 
-  /// Whether an order that was heard of with a revision is the one that this record is about. A store that came
-  /// back from a copy has it written again, with another revision.
+  /// Whether this record belongs to the order with this revision. After the store is restored from a copy, the same
+  /// order is written again with another revision.
   pub fn is_of(&self, order: &Order, revision: Revision) -> bool {
     self.ordered_at == revision || (self.ordered_at.era < revision.era && self.order == *order)
   }
--- a/src/rollout/rollout/deciding.rs
+++ b/src/rollout/rollout/deciding.rs
@@ -1,15 +1,15 @@
 use super::{super::fleet_view::slots, *};
 
-/// What is decided: whether the new version is bad, and which step is due.
+/// Decides whether the new version is bad and which stage comes next.
 impl Rollout {
-  /// Why the new version is known to be bad.
+  /// Returns why the new version is bad, if there is evidence of that.
   pub(super) fn why_bad(&self, now: Time, record: &Record) -> Option<String> {
     if record.stage.permille() == 0 {
       return None;
     }
     let base = record.base.as_ref()?;
     Self::WINDOWS_MS.into_iter().find_map(|window_ms| {
-      // Once all requests go to the new version, only what was seen before tells of the old one.
+      // Once all requests go to the new version, the old one has only its earlier answers to compare with.
       let base_window_ms = window_ms.filter(|_| record.stage != Stage::Full);
       let base = self.evidence.tallies(now, base, base_window_ms);
       let target = self.evidence.tallies(now, &record.order.target, window_ms);
@@ -17,7 +17,7 @@
     })
   }
 
-  /// The next stage, or what holds the roll-out up.
+  /// Returns the next stage, or what blocks it.
   pub(super) fn next_stage(
     &self,
     view: &FleetView,
@@ -27,10 +27,10 @@
     match &record.stage {
       Stage::Canary(canary) => self.after_rung(view, record, canary, &target),
       Stage::Full if self.is_old_version_idle(view, record) => Ok(Stage::Completed),
-      Stage::Full => Err("requests still run at the old version"),
+      Stage::Full => Err("the old version still runs requests"),
       Stage::Halted { reason } => Ok(Stage::RolledBack { reason: reason.clone() }),
       Stage::Waiting => self.first_rung(view, record, &target),
-      Stage::Completed | Stage::RolledBack { .. } => Err("it is over"),
+      Stage::Completed | Stage::RolledBack { .. } => Err("the rollout has ended"),
     }
   }
 
@@ -45,7 +45,7 @@
     }
     let is_over = view.now.since_ms(self.ordered_at) >= record.order.duration_ms;
     if is_over && target.is_empty() {
-      let reason = "no backend server of that version took work in time".into();
+      let reason = "no backend server of the new version took work in time".into();
       return Ok(Stage::RolledBack { reason });
     }
     Err("too few backend servers of the new version take work")
@@ -58,25 +58,25 @@
     canary: &Canary,
     target: &[&Endpoint],
   ) -> Result<Stage, &'static str> {
-    // The first rungs need few of the new backend servers, the others as many as all requests need.
+    // The first step needs few of the new backend servers, the later ones enough for most requests.
     let needs_room = canary.rung > 0;
     if !self.is_rung_over(view.now, record, canary) {
-      return Err("this share has not lasted its time");
+      return Err("the current share has not run for its planned time");
     }
     if !self.is_seen(view.now, target) {
-      return Err("too few boxes of the new version tell of its answers");
+      return Err("too few boxes of the new version report its answers");
     }
     if needs_room && !self.has_most_slots(view, record, target) {
-      return Err("the new version has too few slots for most requests");
+      return Err("the new version has too few slots to take most requests");
     }
-    // Beyond the rungs that show a bad version, to wait would only expose it more.
+    // After the steps that reveal a bad version, waiting would only expose it to more requests.
     if canary.rung + 1 == Rung::FIRST_LARGE && !self.may_be_exposed(view, record) {
-      return Err("the new version has received as much as a bad one may");
+      return Err("the new version has received as many requests as a bad one may");
     }
     if canary.rung + 1 >= Rung::ALL.len() {
       return Ok(Stage::Full);
     }
-    // A few boxes alone show how the version does under load, so none of these may be in trouble of its own.
+    // A few boxes show how the version behaves under load, so boxes with failures of their own come last.
     let mut soundest = target.to_vec();
     soundest.sort_by_key(|endpoint| self.evidence.failures(&endpoint.peer.box_id));
     Ok(Stage::Canary(Rung::canary(canary.rung + 1, &soundest)))
@@ -90,7 +90,7 @@
     elapsed_ms >= until_ms && now.since_ms(self.stage_since) >= Self::RUNG_MIN_MS
   }
 
-  /// Whether most boxes of the new version were heard of lately: otherwise nobody would see it turn bad.
+  /// Whether three quarters of the new version's boxes sent evidence lately. Without it a fault would go unnoticed.
   fn is_seen(&self, now: Time, target: &[&Endpoint]) -> bool {
     let is_fresh =
       |endpoint: &&&Endpoint| self.evidence.is_fresh(now, &endpoint.peer.box_id, Self::EVIDENCE_MS);
@@ -98,8 +98,8 @@
     !target.is_empty() && fresh * 4 >= target.len() * 3
   }
 
-  /// Whether the new version can take most requests. Boxes of the old one that are gone without a word stay in the
-  /// directory for a while; those that live tell of their answers.
+  /// Whether the new version can take most requests. Crashed boxes of the old version stay in the directory for a
+  /// while, so only boxes that still send evidence count as old capacity.
   fn has_most_slots(&self, view: &FleetView, record: &Record, target: &[&Endpoint]) -> bool {
     let old = record.base.as_ref().map_or_else(Vec::new, |base| view.live(base));
     let lives = |endpoint: &&&Endpoint| {
@@ -109,7 +109,8 @@
     f64::from(slots(target)) >= f64::from(slots(&living)) * Self::SLOTS_MOST
   }
 
-  /// Whether the new version has received so little that it may be given more, should it turn out bad then.
+  /// Whether the new version has received so few requests that its share may grow within the exposure limits, even
+  /// if it turns out bad afterwards.
   #[allow(clippy::cast_precision_loss)]
   fn may_be_exposed(&self, view: &FleetView, record: &Record) -> bool {
     let Some(base) = &record.base else {
@@ -125,11 +126,11 @@
     let lasting = record.order.duration_ms.max(elapsed_ms) as f64 / elapsed_ms as f64;
     let all = (exposed + others) as f64 * lasting;
     let allowed = all * view.limits.share + view.limits.extra as f64;
-    // Beyond the order's time nothing is gained by waiting any more.
+    // Once the order's time has passed, waiting longer gains nothing.
     exposed as f64 <= allowed * Self::EXPOSED_PART || elapsed_ms >= record.order.duration_ms
   }
 
-  /// Whether nothing runs at any backend server of another version, and nothing will.
+  /// Whether no backend server of another version runs requests or will run any.
   fn is_old_version_idle(&self, view: &FleetView, record: &Record) -> bool {
     let target = view.live(&record.order.target);
     if !has_room(view, record, &target, Self::SLOTS_FIRST) {
@@ -141,7 +142,7 @@
         || !self.evidence.is_fresh(view.now, box_id, Self::SILENT_BOX_MS)
           && view.now.since_ms(self.stage_since) >= Self::SILENT_BOX_MS
     };
-    // Boxes that left the fleet a moment ago may still finish what they had.
+    // Boxes that have just left the fleet may still be finishing requests.
     let is_closed = |box_id: &&BoxId| self.evidence.is_closed(view.now, box_id, Self::EVIDENCE_MS);
     let base = record.base.as_ref();
     let leaving = base.map(|base| self.evidence.fresh_of(view.now, base, Self::EVIDENCE_MS));
@@ -150,7 +151,7 @@
   }
 }
 
-/// Whether the new version's backend servers that take work have so large a part of the old one's slots.
+/// Whether the new version's live backend servers have at least `part` of the old version's slots.
 fn has_room(view: &FleetView, record: &Record, target: &[&Endpoint], part: f64) -> bool {
   let old = record.base.as_ref().map_or_else(Vec::new, |base| view.live(base));
   f64::from(slots(target)) >= f64::from(slots(&old)) * part && !target.is_empty()
--- a/src/rollout/rollout/mod.rs
+++ b/src/rollout/rollout/mod.rs
@@ -5,31 +5,30 @@
 
 pub(super) use self::storing::read_record;
 
-/// The roll-out of one service, as one box knows it.
+/// The rollout of one service as known to this box.
 ///
-/// One box decides at a time, which the record names. Every step lies in the store before it is taken, written on
-/// the condition that nobody else wrote since, so two boxes that both believe to decide cannot go on from each
-/// other's back, nor bring about two ends. To halt needs no store: it goes by links at once, and wins over every
-/// step.
+/// One box decides at a time; the record names it. Every step is written to the store by compare-and-swap before it
+/// takes effect, so two boxes that both act as decider can neither advance independently nor reach two different
+/// ends. A halt doesn't need the store: it spreads over the links at once and takes precedence over every step.
 #[derive(Clone, Debug)]
 pub struct Rollout {
-  /// The number of the decider's last word on the record.
+  /// The decider's last heartbeat counter for the record.
   beat: u64,
   beat_at: Time,
   call: Option<PendingCall>,
-  /// When the decider, or the store, was last heard of.
+  /// When the last update came from the decider or the store.
   decider_heard_at: Time,
   evidence: EvidenceBook,
-  /// Why the next step was not taken when this box, which decides, last looked.
+  /// What blocked the next step at the last check, if this box is the decider.
   held_up_by: Option<&'static str>,
-  /// Whether what the store holds has to be looked at: it came back from a copy.
+  /// Whether the store's record must be checked because the store was restored from a copy.
   is_to_check: bool,
-  /// The newest order, with its revision.
+  /// The newest order that has no record yet, with its revision.
   order: Option<(Order, Revision)>,
-  /// When the order was heard of.
+  /// When the order was first known.
   ordered_at: Time,
   record: Option<Record>,
-  /// When the next call may be made after a failure.
+  /// When the next store call may be made after a failure.
   retry_at: Time,
   service: ServiceName,
   stage_since: Time,
@@ -37,31 +36,31 @@
 }
 
 impl Rollout {
-  /// Milliseconds between two words of the decider.
+  /// Milliseconds between heartbeats of the decider.
   const BEAT_MS: u64 = 400;
-  /// Milliseconds of silence after which the next box decides: three words of the decider.
+  /// Milliseconds without a heartbeat, about three intervals, after which the next box takes over.
   const SILENCE_MS: u64 = 1_300;
-  /// Milliseconds that each box waits for the one before it.
+  /// Milliseconds that each box waits longer than the box ranked before it.
   const TURN_MS: u64 = 500;
-  /// Milliseconds until a call that failed is made again.
+  /// Milliseconds before a failed store call is retried.
   const RETRY_MS: u64 = 200;
-  /// Milliseconds for which a box's word counts: several of them, and a change of its links.
+  /// Milliseconds for which a box's evidence is current. Covers several reports and a change of the box's links.
   const EVIDENCE_MS: u64 = 1_200;
-  /// Milliseconds after which a box of the old version that says nothing is taken for cut off or dead.
+  /// Milliseconds after which a box of the old version without evidence counts as partitioned or dead.
   const SILENT_BOX_MS: u64 = 3_000;
-  /// Milliseconds that a rung lasts at least: by then answers tell of it.
+  /// The least milliseconds that a canary step lasts, so that answers from it arrive.
   const RUNG_MIN_MS: u64 = 600;
-  /// Milliseconds of the windows over which versions are compared, beside the whole time: what turned bad a moment
-  /// ago does not show among many answers of before.
+  /// The windows in milliseconds over which versions are compared; `None` is the whole rollout. A version that has
+  /// just turned bad doesn't stand out among many earlier answers, so short windows are checked too.
   const WINDOWS_MS: [Option<u64>; 3] = [Some(1_000), Some(2_500), None];
-  /// The part of the old version's slots that the new one needs before it gets its first requests.
+  /// The fraction of the old version's slots that the new one needs before it gets its first requests.
   const SLOTS_FIRST: f64 = 0.25;
-  /// The part of the old version's slots that the new one needs before it gets most requests.
+  /// The fraction of the old version's slots that the new one needs before it gets most requests.
   const SLOTS_MOST: f64 = 0.75;
-  /// The part of what a bad version may receive that it may have received before the shares grow.
+  /// The fraction of the exposure limit that the new version may have received before its share grows.
   const EXPOSED_PART: f64 = 0.6;
 
-  /// Nothing is known of the service's roll-outs yet.
+  /// A rollout of which nothing is known yet.
   pub fn new(now: Time, service: ServiceName) -> Self {
     Self {
       beat: 0,
@@ -81,7 +80,7 @@
     }
   }
 
-  /// Where the roll-out stands.
+  /// The newest known record.
   pub fn record(&self) -> Option<&Record> {
     self.record.as_ref()
   }
@@ -91,12 +90,12 @@
     now.since_ms(self.ordered_at)
   }
 
-  /// Why the next step is not taken yet, where this box decides.
+  /// What blocks the next step, if this box is the decider.
   pub fn held_up_by(&self) -> Option<&'static str> {
     self.held_up_by
   }
 
-  /// What the answers of a version came to since the order, by route, as far as this box heard of it.
+  /// The tallies of a version since the order, by route, as far as this box has received them.
   pub fn seen(&self, now: Time, software: &SoftwareVersion) -> BTreeMap<RouteName, Tally> {
     let mut seen: BTreeMap<RouteName, Tally> = BTreeMap::new();
     for (route, tally) in self.evidence.tallies(now, software, None).into_iter().flatten() {
@@ -105,7 +104,7 @@
     seen
   }
 
-  /// An operator's order was found in the store.
+  /// Handles an operator's order read from the store.
   pub(super) fn ordered(&mut self, now: Time, order: &Order, revision: Revision) {
     let is_known = self.order.as_ref().is_some_and(|(_, known)| *known >= revision)
       || self.record.as_ref().is_some_and(|record| record.is_of(order, revision));
@@ -117,16 +116,16 @@
     self.decider_heard_at = now;
   }
 
-  /// The order was taken out of the store: what it began is undone.
+  /// Handles the removal of the order from the store by halting its rollout.
   pub(super) fn withdrawn(&mut self, now: Time) -> Vec<RolloutAction> {
     self.order = None;
     match self.open_record().cloned() {
-      Some(record) => self.halt(now, &record, "the order was withdrawn".into()),
+      Some(record) => self.halt(now, &record, "the operator withdrew the order".into()),
       None => Vec::new(),
     }
   }
 
-  /// A record was found in the store, or what stands there cannot be read.
+  /// Handles a record read from the store; `None` if the entry could not be decoded.
   pub(super) fn found(
     &mut self,
     now: Time,
@@ -145,7 +144,7 @@
     self.adopt(now, age_ms, record)
   }
 
-  /// Another box told where the roll-out stands. Returns whether that was new here.
+  /// Handles a status update from another box. Returns whether it is new.
   pub(super) fn heard(&mut self, now: Time, word: &Word) -> (bool, Vec<RolloutAction>) {
     let is_same = self.record.as_ref() == Some(&word.record);
     if is_same && word.beat > self.beat {
@@ -161,7 +160,7 @@
     (is_new, self.adopt(now, word.age_ms, word.record.clone()))
   }
 
-  /// Takes over a record where it is newer, and tells the neighbours.
+  /// Adopts a record if it is newer, and sends it to the neighbours.
   fn adopt(&mut self, now: Time, age_ms: u64, record: Record) -> Vec<RolloutAction> {
     if self.record.as_ref().is_some_and(|known| !record.is_newer_than(known)) {
       return Vec::new();
@@ -182,7 +181,7 @@
     self.held_up_by = None;
     self.stage_since = now;
     let text = format!(
-      "roll-out of {} to {}, step {} by {}, {} ms after its order: {}",
+      "rollout of {} to {}, step {} by {}, {} ms after its order: {}",
       self.service,
       record.order.target,
       record.step,
@@ -194,7 +193,7 @@
     vec![RolloutAction::Log(text), RolloutAction::Changed, self.spread(now)]
   }
 
-  /// What neighbours are told.
+  /// Returns the update to send to neighbours.
   pub(super) fn word(&self, now: Time) -> Option<Word> {
     let record = self.record.clone()?;
     Some(Word { age_ms: now.since_ms(self.ordered_at), beat: self.beat, record })
@@ -204,30 +203,30 @@
     RolloutAction::Spread(self.word(now).expect("there is a record"))
   }
 
-  /// The daemon beside a backend server told of its answers. Returns whether that was new here.
+  /// Handles the answer counts of a backend server. Returns whether they are new.
   pub(super) fn observed(&mut self, now: Time, evidence: &Evidence) -> bool {
     let is_of = self.open_record().is_some_and(|record| record.ordered_at == evidence.ordered_at);
     is_of && self.evidence.hear(now, evidence)
   }
 
-  /// The record of a roll-out that goes on.
+  /// The record, if the rollout is in progress.
   pub(super) fn open_record(&self) -> Option<&Record> {
     self.record.as_ref().filter(|record| !record.stage.is_final())
   }
 
-  /// Whether something has to be done.
+  /// Whether the rollout needs work.
   pub(super) fn is_at_work(&self) -> bool {
     self.open_record().is_some() || self.order.is_some() || self.is_to_check
   }
 
-  /// The store came back from a copy: what it holds has to be read.
+  /// Handles the restoration of the store from a copy: its contents must be read again.
   pub(super) fn store_went_back(&mut self) {
     self.call = None;
     self.is_to_check = self.record.is_some();
     self.stored = Stored::Unknown;
   }
 
-  /// Lets time pass. `in_force` is the version that is in force where no roll-out goes on.
+  /// Advances to the time of `view`. `in_force` is the version in force without a rollout.
   pub(super) fn tick(
     &mut self,
     view: &FleetView,
@@ -253,10 +252,10 @@
   fn tick_open(&mut self, view: &FleetView, record: &Record) -> Vec<RolloutAction> {
     let now = view.now;
     if let Some(reason) = self.why_bad(now, record).filter(|_| view.hears_all) {
-      // Whoever sees it says so: to halt a good version costs less than to wait for one box.
+      // Any box may halt: halting a good version costs less than waiting for the decider.
       return self.halt(now, record, reason);
     }
-    // A box that cannot write is silent, so that another one decides.
+    // A decider that can't write to the store sends no heartbeats, so that another box takes over.
     let is_own = record.decider == *view.own_box && view.rank.is_some();
     let mut actions = Vec::new();
     if is_own && now.since_ms(self.beat_at) >= Self::BEAT_MS {
@@ -277,7 +276,7 @@
       && now.since_ms(self.decider_heard_at) >= Self::SILENCE_MS + rank * Self::TURN_MS
     {
       actions.push(RolloutAction::Log(format!(
-        "roll-out of {}: its decider {} is silent, and this box takes its place",
+        "rollout of {}: no heartbeat from decider {}, this box takes over",
         self.service, record.decider
       )));
       let decider = view.own_box.clone();
@@ -286,18 +285,17 @@
     actions
   }
 
-  /// Tells the log why the next step is not taken, where that is another reason than before.
+  /// Logs what blocks the next step if the reason has changed.
   fn note_held_up(&mut self, now: Time, reason: &'static str) -> Option<RolloutAction> {
     if self.held_up_by.replace(reason) == Some(reason) {
       return None;
     }
     let (service, age_ms) = (&self.service, self.age_ms(now));
-    let text =
-      format!("roll-out of {service} goes no further yet, {age_ms} ms after its order: {reason}");
+    let text = format!("rollout of {service} is waiting, {age_ms} ms after its order: {reason}");
     Some(RolloutAction::Log(text))
   }
 
-  /// Nothing goes to the new version from now on, wherever this is heard.
+  /// Stops requests to the new version on every box that receives the record.
   fn halt(&mut self, now: Time, record: &Record, reason: String) -> Vec<RolloutAction> {
     let halted = record.next(Stage::Halted { reason });
     let age_ms = now.since_ms(self.ordered_at);
--- a/src/rollout/rollout/storing.rs
+++ b/src/rollout/rollout/storing.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// The record in the store.
+/// Reads and writes the record in the store.
 impl Rollout {
   /// Writes the first record of an order.
   pub(super) fn begin(
@@ -24,7 +24,7 @@
     })
   }
 
-  /// Writes the record again that the store lost.
+  /// Writes the record again if the store lost it.
   pub(super) fn restore(&mut self) -> Option<RolloutAction> {
     let held = self.record.clone()?;
     let is_held = |stored: &Option<Record>| {
@@ -37,7 +37,7 @@
     self.propose(held)
   }
 
-  /// Calls the store for a record: writes it where what stands there is known, and reads that otherwise.
+  /// Writes a record if the stored revision is known; otherwise reads the stored record first.
   pub(super) fn propose(&mut self, record: Record) -> Option<RolloutAction> {
     let key = keys::record(&self.service);
     let value = to_json(&record);
@@ -60,7 +60,7 @@
     Some(RolloutAction::Call { request, service: self.service.clone() })
   }
 
-  /// The store answered.
+  /// Handles the store's answer to the pending call.
   pub(in crate::rollout) fn store_answered(
     &mut self,
     now: Time,
@@ -91,7 +91,7 @@
         self.stored = Stored::Unknown;
         self.retry_at = now.after(Self::RETRY_MS);
         let text =
-          format!("roll-out of {}: the store does not serve this box: {err}", self.service);
+          format!("rollout of {}: the store call failed, it is retried: {err}", self.service);
         vec![RolloutAction::Log(text)]
       }
       (_, Ok(_)) => {
@@ -103,14 +103,14 @@
   }
 }
 
-/// What an entry of the store says of a service's roll-out, or why it says nothing.
+/// Decodes a service's rollout record from a store entry, or returns why that fails.
 pub(in crate::rollout) fn read_record(
   service: &ServiceName,
   entry: &Entry,
 ) -> Result<Record, String> {
   let record: Record = entry.value.decode()?;
   if record.order.service != *service {
-    return Err(format!("it speaks of service {}", record.order.service));
+    return Err(format!("the record belongs to service {}", record.order.service));
   }
   Ok(record)
 }
--- a/src/rollout/rollout_action.rs
+++ b/src/rollout/rollout_action.rs
@@ -1,19 +1,19 @@
 use super::*;
 
-/// What a [`Rollouts`] wants done.
+/// An action that [`Rollouts`] asks its owner to carry out.
 #[derive(Clone, Debug)]
 pub enum RolloutAction {
-  /// Call the store, and hand the answer to [`Rollouts::store_answered`].
+  /// Call the store and pass the answer to [`Rollouts::store_answered`].
   Call {
     /// The request.
     request: StoreRequest,
-    /// The service whose roll-out it is for.
+    /// The service whose rollout needs the call.
     service: ServiceName,
   },
-  /// What goes where has changed.
+  /// Apply the new traffic rules: they have changed.
   Changed,
-  /// Tell the log.
+  /// Write a line to the log.
   Log(String),
-  /// Tell all neighbours where a roll-out stands.
+  /// Send the status of a rollout to all neighbours.
   Spread(Word),
 }
--- a/src/rollout/rollouts.rs
+++ b/src/rollout/rollouts.rs
@@ -2,28 +2,28 @@
 
 use super::rollout::read_record;
 
-/// The roll-outs of all services, as one box knows them, and which version of each is in force.
+/// The rollouts of all services as known to this box, and the version in force of each service.
 #[derive(Clone, Debug, Default)]
 pub struct Rollouts {
-  /// The version that this box takes for the one in force where no roll-out tells.
+  /// The version assumed to be in force where no rollout determines it.
   bases: BTreeMap<ServiceName, SoftwareVersion>,
   by_service: BTreeMap<ServiceName, Rollout>,
-  /// Roll-outs whose end has told which version is in force, by the revisions of their orders.
+  /// The order revision of the last finished rollout applied to the versions in force.
   ended: BTreeMap<ServiceName, Revision>,
 }
 
 impl Rollouts {
-  /// An operator's order was found in the store.
+  /// Handles an operator's order read from the store.
   pub fn ordered(&mut self, now: Time, order: &Order, revision: Revision) {
     self.of(now, &order.service).ordered(now, order, revision);
   }
 
-  /// An operator's order was taken out of the store.
+  /// Handles the removal of an operator's order from the store.
   pub fn withdrawn(&mut self, now: Time, service: &ServiceName) -> Vec<RolloutAction> {
     self.by_service.get_mut(service).map_or_else(Vec::new, |rollout| rollout.withdrawn(now))
   }
 
-  /// An entry of the store that may be a record was read.
+  /// Handles a store entry that may hold a rollout record.
   pub fn found(
     &mut self,
     now: Time,
@@ -35,7 +35,7 @@
     let reason = read.as_ref().err().map(|reason| {
       let revision = entry.revision;
       RolloutAction::Log(format!(
-        "the record of {service}'s roll-out cannot be read, of revision {revision}: {reason}"
+        "cannot read the rollout record of {service} at revision {revision}: {reason}"
       ))
     });
     let rollout = self.of(now, service);
@@ -44,7 +44,7 @@
     reason.into_iter().chain(found).collect()
   }
 
-  /// Another box told where a roll-out stands. Returns whether that was new here, so that others are told.
+  /// Handles a status update from another box. Returns whether it is new and must be forwarded.
   pub fn heard(&mut self, now: Time, word: &Word) -> (bool, Vec<RolloutAction>) {
     let service = &word.record.order.service;
     let heard = self.of(now, service).heard(now, word);
@@ -52,18 +52,18 @@
     heard
   }
 
-  /// The daemon beside a backend server told of its answers. Returns whether that was new here.
+  /// Handles the answer counts of a backend server, sent by its daemon. Returns whether they are new.
   pub fn observed(&mut self, now: Time, evidence: &Evidence) -> bool {
     let rollout = self.by_service.get_mut(&evidence.service);
     rollout.is_some_and(|rollout| rollout.observed(now, evidence))
   }
 
-  /// The store came back from a copy.
+  /// Handles the restoration of the store from a copy.
   pub fn store_went_back(&mut self) {
     self.by_service.values_mut().for_each(Rollout::store_went_back);
   }
 
-  /// The store answered a call for a service's roll-out.
+  /// Handles the store's answer to a call for a service's rollout.
   pub fn store_answered(
     &mut self,
     now: Time,
@@ -76,19 +76,19 @@
     actions
   }
 
-  /// Services for whose roll-outs something has to be done.
+  /// Returns the services whose rollouts need work.
   pub fn services_at_work(&self) -> Vec<ServiceName> {
     let at_work = self.by_service.iter().filter(|(_, rollout)| rollout.is_at_work());
     at_work.map(|(service, _)| service.clone()).collect()
   }
 
-  /// Lets time pass for one service.
+  /// Advances the rollout of one service to the time of `view`.
   pub fn tick(&mut self, service: &ServiceName, view: &FleetView) -> Vec<RolloutAction> {
     let base = self.bases.get(service);
     self.by_service.get_mut(service).map_or_else(Vec::new, |rollout| rollout.tick(view, base))
   }
 
-  /// A roll-out that ended tells which version is in force from then on.
+  /// Updates the version in force after a rollout has ended.
   fn note_end(&mut self, service: &ServiceName) {
     let Some(record) = self.by_service.get(service).and_then(Rollout::record) else {
       return;
@@ -107,23 +107,23 @@
     self.ended.insert(service.clone(), record.ordered_at);
   }
 
-  /// Whether a roll-out of a service goes on.
+  /// Whether a rollout of the service is in progress.
   pub fn is_open(&self, service: &ServiceName) -> bool {
     self.by_service.get(service).is_some_and(|rollout| rollout.open_record().is_some())
   }
 
-  /// The roll-out of a service.
+  /// Returns the rollout of a service.
   pub fn get(&self, service: &ServiceName) -> Option<&Rollout> {
     self.by_service.get(service)
   }
 
-  /// What a new neighbour is told.
+  /// Returns the updates to send to a new neighbour.
   pub fn words(&self, now: Time) -> Vec<Word> {
     self.by_service.values().filter_map(|rollout| rollout.word(now)).collect()
   }
 
-  /// The boxes of a service changed. Where no roll-out tells which version is in force, it stays the one that was
-  /// seen first, until nobody runs that any more.
+  /// Handles a change of the boxes of a service. Where no rollout determines the version in force, the version seen
+  /// first stays in force until no box runs it.
   pub fn note_endpoints(&mut self, service: &ServiceName, view: &FleetView) {
     let record = self.by_service.get(service).and_then(Rollout::record);
     let undone = record.filter(|record| record.stage.is_undone()).map(|one| &one.order.target);
@@ -136,19 +136,19 @@
     }
   }
 
-  /// What goes where, for all services of which something is known.
+  /// Returns the traffic rules of all known services.
   pub fn traffic(&self) -> BTreeMap<ServiceName, Traffic> {
     let seen =
       self.bases.iter().map(|(service, base)| (service.clone(), Traffic::in_force(base.clone())));
     let mut traffic: BTreeMap<ServiceName, Traffic> = seen.collect();
     for (service, rollout) in &self.by_service {
       if let Some(record) = rollout.record() {
-        let mut told = Traffic::of(record);
-        // Where backend servers were replaced since, by whatever version, that one is in force.
+        let mut rule = Traffic::of(record);
+        // Backend servers may have been replaced since, without a rollout: their version is in force.
         if record.stage.is_final() {
-          told.base = self.bases.get(service).cloned().or(told.base);
+          rule.base = self.bases.get(service).cloned().or(rule.base);
         }
-        traffic.insert(service.clone(), told);
+        traffic.insert(service.clone(), rule);
       }
     }
     traffic
--- a/src/rollout/share_limits.rs
+++ b/src/rollout/share_limits.rs
@@ -1,9 +1,9 @@
-/// What a version that turns out bad may have received by then.
+/// How many requests a version may have received when it turns out to be bad.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShareLimits {
-  /// Requests besides the share.
+  /// Requests allowed in addition to the share.
   pub extra: u64,
-  /// The share of all requests for its service while the order lasts.
+  /// The allowed share of all requests for the service during the order.
   pub share: f64,
 }
 
--- a/src/rollout/stage.rs
+++ b/src/rollout/stage.rs
@@ -1,41 +1,41 @@
 use super::*;
 
-/// How far a roll-out has come.
+/// The stage of a rollout.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Stage {
   /// A share of the requests goes to the new version.
   Canary(Canary),
-  /// The new version is in force, and the store says so.
+  /// The new version is in force; the store has this record.
   Completed,
-  /// All requests go to the new version, and the old one finishes what it has.
+  /// All requests go to the new version, and the old one finishes its requests.
   Full,
-  /// Nothing goes to the new version any more. The store does not say so yet.
+  /// The new version gets no more requests; the store doesn't have this record yet.
   Halted {
     /// Why.
     reason: String,
   },
-  /// Nothing goes to the new version any more, and the store says so.
+  /// The new version gets no more requests; the store has this record.
   RolledBack {
     /// Why.
     reason: String,
   },
-  /// Nothing goes to the new version yet: too few of its backend servers take work.
+  /// The new version gets no requests yet: too few of its backend servers take work.
   Waiting,
 }
 
 impl Stage {
-  /// Whether the roll-out is over. Nothing replaces that but another order.
+  /// Whether the rollout has ended. Only another order replaces a final stage.
   pub fn is_final(&self) -> bool {
     matches!(self, Self::Completed | Self::RolledBack { .. })
   }
 
-  /// Whether nothing goes to the new version, and nothing will.
+  /// Whether the new version gets no requests for good.
   pub fn is_undone(&self) -> bool {
     matches!(self, Self::Halted { .. } | Self::RolledBack { .. })
   }
 
-  /// Requests in a thousand that go to the new version.
+  /// The new version's share, in requests per thousand.
   pub fn permille(&self) -> u32 {
     match self {
       Self::Canary(canary) => canary.permille,
--- a/src/rollout/stored.rs
+++ b/src/rollout/stored.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-/// What is known of a service's record in the store.
+/// What this box knows of a service's record in the store.
 #[derive(Clone, Debug, Default)]
 pub(super) enum Stored {
-  /// It holds none.
+  /// The store holds no record.
   Absent,
-  /// It holds this one, nothing where it cannot be read, with that revision.
+  /// The store holds this record, or `None` if it can't be decoded, at this revision.
   Present(Option<Record>, Revision),
-  /// It has to be read.
+  /// The record must be read.
   #[default]
   Unknown,
 }
--- a/src/rollout/traffic.rs
+++ b/src/rollout/traffic.rs
@@ -1,25 +1,25 @@
 use super::*;
 
-/// Which versions of a service get which requests.
+/// How the requests for a service are split between its versions.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Traffic {
-  /// The version in force; any where there is none.
+  /// The version in force. If `None`, any version other than the target counts as in force.
   pub base: Option<SoftwareVersion>,
-  /// The boxes of the new version that take its share; all where there are none.
+  /// The boxes of the new version that take its share; all of them if empty.
   pub boxes: BTreeSet<BoxId>,
-  /// Requests in a thousand for the new version.
+  /// The new version's share, in requests per thousand.
   pub permille: u32,
-  /// The revision of the order that goes on; nothing where none does.
+  /// The store's revision of the order in progress, if any.
   pub ordered_at: Option<Revision>,
-  /// A version that is not in force, and gets its share alone.
+  /// The new version, which is not in force and gets only its share.
   pub target: Option<SoftwareVersion>,
 }
 
 impl Traffic {
-  /// All requests.
+  /// The share that stands for all requests, in requests per thousand.
   pub const WHOLE: u32 = 1_000;
 
-  /// The traffic while a roll-out stands like that.
+  /// The traffic rule that follows from a rollout record.
   pub fn of(record: &Record) -> Self {
     let target = record.order.target.clone();
     match &record.stage {
@@ -37,15 +37,15 @@
     }
   }
 
-  /// The traffic of a service of which no roll-out is known.
+  /// The traffic rule of a service without a rollout.
   pub fn in_force(base: SoftwareVersion) -> Self {
     Self { base: Some(base), ..Self::default() }
   }
 
-  /// Whether a box may get a request of a lane.
+  /// Whether a box may receive a request of this lane.
   pub fn admits(&self, endpoint: &Endpoint, lane: Lane) -> bool {
     let Some(software) = &endpoint.software else {
-      // Which version it runs is known soon. Meanwhile it may be the new one.
+      // The version becomes known shortly. Until then it may be the new one.
       return self.target.is_none();
     };
     if self.target.as_ref() == Some(software) {
@@ -56,12 +56,12 @@
     is_in_force && lane == Lane::InForce
   }
 
-  /// The lane of a request that is not dealt: the new version's only where all requests go there.
+  /// The lane of requests outside the new version's share: `Target` only once all requests go there.
   pub fn main_lane(&self) -> Lane {
     if self.permille == Self::WHOLE { Lane::Target } else { Lane::InForce }
   }
 
-  /// Why a backend server of a version may not run requests; nothing where it may.
+  /// Returns why a backend server of this version may not run requests, or `None` if it may.
   pub fn why_out_of_force(&self, software: Option<&SoftwareVersion>) -> Option<&'static str> {
     let Some(software) = software else {
       return self.target.as_ref().map(|_| "the version of the backend server is not known yet");
@@ -73,7 +73,7 @@
     (!is_in_force).then_some("the version of the backend server is not in force")
   }
 
-  /// Whether a version goes out of force: all requests go to another one.
+  /// Whether a version is being replaced: all requests go to another one.
   pub fn is_leaving(&self, software: &SoftwareVersion) -> bool {
     self.permille == Self::WHOLE && self.target.as_ref().is_some_and(|target| target != software)
   }
--- a/src/rollout/traffic_table.rs
+++ b/src/rollout/traffic_table.rs
@@ -1,35 +1,35 @@
 use super::*;
 
-/// The traffic of all services, and who of a service's requests goes to its new version.
+/// The traffic rules of all services. Picks the requests that go to a service's new version.
 #[derive(Clone, Debug, Default)]
 pub struct TrafficTable {
-  /// How far each service's new version is behind its share, in thousandths of a request.
+  /// The share that each service's new version has accumulated and not received yet, in thousandths of a request.
   due: BTreeMap<ServiceName, u32>,
-  /// Whether anything was told yet. A box that knows nobody cannot tell which version is in force.
+  /// Whether rules have been set. A box that knows no other box can't tell which version is in force.
   is_known: bool,
   rules: BTreeMap<ServiceName, Rc<Traffic>>,
 }
 
 impl TrafficTable {
-  /// Takes over what goes where.
+  /// Replaces the traffic rules.
   pub fn set(&mut self, rules: BTreeMap<ServiceName, Traffic>) {
     self.is_known = true;
     self.due.retain(|service, _| rules.contains_key(service));
     self.rules = rules.into_iter().map(|(service, rule)| (service, Rc::new(rule))).collect();
   }
 
-  /// Whether it is known which versions are in force.
+  /// Whether the versions in force are known.
   pub fn is_known(&self) -> bool {
     self.is_known
   }
 
-  /// The traffic of a service.
+  /// The traffic rule of a service.
   pub fn of(&self, service: &ServiceName) -> Rc<Traffic> {
     self.rules.get(service).cloned().unwrap_or_default()
   }
 
-  /// The lane of the next request for a service. Requests are dealt in turn, and each box
-  /// begins anywhere in its turn, so that many boxes with few requests each keep to the share together.
+  /// Returns the lane of the next request for a service. Requests are assigned at even intervals. Each box starts at
+  /// a random offset, so that many boxes with few requests each keep the share together.
   pub fn deal(&mut self, service: &ServiceName, rng: &mut ChaCha8Rng) -> Lane {
     let permille = self.rules.get(service).map_or(0, |rule| rule.permille);
     if permille == 0 {
--- a/src/rollout/word.rs
+++ b/src/rollout/word.rs
@@ -1,15 +1,15 @@
 use super::*;
 
-/// What boxes tell each other of a roll-out.
+/// The status of a rollout, as sent between boxes.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Word {
-  /// Milliseconds since the order.
+  /// Milliseconds since the operator's order.
   #[serde(rename = "a")]
   pub age_ms: u64,
-  /// Grows with each word of the decider about one record, so that its silence is noticed.
+  /// The decider's heartbeat counter for one record; other boxes detect a failed decider when it stops growing.
   #[serde(rename = "b")]
   pub beat: u64,
-  /// Where it stands.
+  /// The rollout's state.
   #[serde(rename = "r")]
   pub record: Record,
 }
--- a/tests/backend_record.rs
+++ b/tests/backend_record.rs
@@ -1,5 +1,5 @@
-//! What a daemon makes of the reports of its backend server: late ones, ones of processes that left or that start
-//! again under their id, and ones of other writers.
+//! How a daemon handles the reports of its backend server: late ones, those of processes that left or restarted under
+//! the same id, and those of other senders.
 
 mod support;
 
@@ -25,7 +25,7 @@
   name.parse().expect("a name")
 }
 
-/// What is known of a process that the health endpoint named and that reported since.
+/// The record of a process that the health endpoint named and that has reported since.
 fn known(name: &str, sequence: u64) -> BackendRecord {
   let mut record = BackendRecord::default();
   record.probed(Time(0), &instance(name), None);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_late_report_takes_nothing_back() {
+fn a_late_report_reverts_nothing() {
   assert_eq!(BackendRecord::default().state(), BackendState::Unknown);
   let mut record = known("i-1", 5);
   assert_eq!(record.state(), BackendState::Ready);
@@ -46,13 +46,13 @@
   );
   assert_eq!(record.state(), BackendState::Leaving);
   assert_eq!(record.reported(Time(3), &report("i-1", 8, false)), Heard::News);
-  assert_eq!(record.state(), BackendState::Leaving, "a process that leaves does not come back");
+  assert_eq!(record.state(), BackendState::Leaving, "a leaving process is never ready again");
   record.probed(Time(4), &instance("i-1"), None);
-  assert_eq!(record.state(), BackendState::Leaving, "whatever its health endpoint says");
+  assert_eq!(record.state(), BackendState::Leaving, "even if the health endpoint names it");
 }
 
 #[test]
-fn a_process_that_went_stays_gone_though_its_report_arrives() {
+fn a_late_report_does_not_revive_a_deregistered_process() {
   let mut record = known("i-1", 5);
   record.deregistered(&process("i-1", None));
   assert_eq!(record.state(), BackendState::Leaving);
@@ -63,13 +63,13 @@
   assert_eq!(
     record.reported(Time(3), &report("i-1", 9, false)),
     Heard::Late,
-    "the one before it, late"
+    "the previous process, late"
   );
   assert_eq!(record.process(), Some(&process("i-2", None)));
 }
 
 #[test]
-fn a_fresh_daemon_believes_the_health_endpoint_until_the_first_report() {
+fn a_new_daemon_trusts_the_health_endpoint_until_the_first_report() {
   let mut record = BackendRecord::default();
   assert!(record.is_in_doubt());
   record.probed(Time(0), &instance("i-1"), None);
@@ -83,9 +83,9 @@
   assert_eq!(record.process(), Some(&process("i-1", None)));
 }
 
-/// The daemon may have acknowledged in its former life that the process leaves.
+/// A previous incarnation of the daemon may have acknowledged that the process leaves.
 #[test]
-fn one_report_alone_proves_no_process_to_a_fresh_daemon() {
+fn one_report_does_not_confirm_a_process_to_a_new_daemon() {
   let mut record = BackendRecord::default();
   assert_eq!(record.reported(Time(0), &report("i-1", 5, false)), Heard::News);
   assert_eq!(record.state(), BackendState::Unknown, "it may have been sent before a drain");
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_fresh_daemon_believes_at_once_that_a_process_leaves() {
+fn a_new_daemon_accepts_at_once_that_a_process_leaves() {
   let mut record = BackendRecord::default();
   assert_eq!(record.reported(Time(0), &report("i-1", 5, true)), Heard::News);
   assert_eq!(record.state(), BackendState::Leaving);
@@ -111,7 +111,7 @@
   assert_eq!(
     record.reported(Time(1), &report("i-1", 90, false)),
     Heard::News,
-    "from before this life"
+    "from before this incarnation"
   );
   assert_eq!(
     (record.process(), record.state()),
@@ -141,7 +141,7 @@
   assert_eq!(record.reported(Time(3), &report("i-1", 6, false)), Heard::Late, "the former one");
 }
 
-/// What is known of a process that says when it started.
+/// The record of a process that reports its start time.
 fn known_born(id: &str, born: u64, sequence: u64) -> BackendRecord {
   let mut record = BackendRecord::default();
   record.probed(Time(0), &instance(id), None);
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_process_that_starts_again_under_its_id_begins_anew() {
+fn a_process_restarted_under_the_same_id_starts_a_new_sequence() {
   let mut record = known_born("i-1", 100, 40);
   record.vanished();
   let again = BackendReport { slots: 3, ..born("i-1", 200, 1, false) };
@@ -166,15 +166,19 @@
   assert_eq!(record.process(), Some(&process("i-1", Some(200))));
   assert_eq!(record.starts(), 1);
   assert_eq!(record.reported(Time(30), &born("i-1", 200, 2, true)), Heard::News);
-  assert_eq!(record.state(), BackendState::Leaving, "its own counts hold, not the former ones");
+  assert_eq!(
+    record.state(),
+    BackendState::Leaving,
+    "its own sequence counts, not the previous one's"
+  );
 }
 
 #[test]
-fn a_process_that_starts_again_after_its_namesake_left_is_taken() {
-  for says_moment in [true, false] {
+fn a_process_restarted_after_the_previous_one_left_is_accepted() {
+  for has_start_time in [true, false] {
     let mut record = known_born("i-1", 100, 40);
     assert_eq!(record.reported(Time(1), &born("i-1", 100, 41, true)), Heard::News);
-    record.deregistered(&process("i-1", says_moment.then_some(100)));
+    record.deregistered(&process("i-1", has_start_time.then_some(100)));
     record.probed(Time(5), &instance("i-1"), None);
     assert_eq!(record.state(), BackendState::Leaving);
     assert_eq!(record.reported(Time(10), &born("i-1", 200, 1, false)), Heard::News);
@@ -184,13 +188,17 @@
       assert_eq!(record.reported(Time(30), &born("i-1", 100, sequence, true)), Heard::Late);
     }
     record.deregistered(&process("i-1", Some(100)));
-    assert_eq!(record.state(), BackendState::Ready, "the former one goes once more, late");
+    assert_eq!(
+      record.state(),
+      BackendState::Ready,
+      "a late deregistration of the previous process"
+    );
   }
 }
 
-/// The word that a process leaves binds, also where it is the first that is heard of it.
+/// A leaving report is accepted even if it is the first report of its process.
 #[test]
-fn a_process_that_started_again_is_believed_at_once_that_it_leaves() {
+fn a_leaving_report_of_a_restarted_process_is_accepted_at_once() {
   let mut record = known_born("i-1", 100, 40);
   assert_eq!(record.reported(Time(1), &born("i-1", 200, 7, true)), Heard::News);
   assert_eq!(record.state(), BackendState::Leaving);
@@ -199,7 +207,7 @@
 }
 
 #[test]
-fn a_report_without_the_moment_of_a_start_counts_only_where_nobody_tells_it() {
+fn a_report_without_a_start_time_counts_only_if_no_process_reports_one() {
   let mut record = known_born("i-1", 100, 4);
   for leaving in [false, true] {
     assert!(matches!(record.reported(Time(1), &report("i-1", 90, leaving)), Heard::Foreign(_)));
@@ -218,15 +226,15 @@
   assert_eq!(record.state(), BackendState::Ready);
 }
 
-/// A burst that was held up, or was made up, comes within a moment.
+/// Delayed or forged reports arrive in a burst.
 #[test]
-fn a_burst_of_reports_displaces_nobody() {
+fn a_burst_of_reports_does_not_displace_the_running_process() {
   let mut record = known_born("i-1", 100, 4);
   for sequence in 1..50 {
     record.reported(Time(sequence), &born("i-foreign", 150, sequence, false));
   }
   assert_eq!(record.process(), Some(&process("i-1", Some(100))));
-  // Nor does one that goes on while the running one reports.
+  // Nor do steady reports of another process while the running one reports.
   for second in 1..50 {
     let now = Time(second * 1_000);
     record.reported(now, &born("i-foreign", 150, 100 + second, false));
@@ -236,9 +244,9 @@
   assert_eq!(record.process(), Some(&process("i-1", Some(100))));
 }
 
-/// Whoever was believed in error gives way to the one that goes on reporting.
+/// A process accepted in error is replaced by the one that keeps reporting.
 #[test]
-fn a_made_up_process_is_given_up_for_the_one_that_reports() {
+fn a_forged_process_is_replaced_by_the_one_that_keeps_reporting() {
   let mut record = known_born("i-1", 100, 4);
   assert_eq!(record.reported(Time(1), &born("i-1", 150, 1, true)), Heard::News);
   assert_eq!(record.state(), BackendState::Leaving);
@@ -251,9 +259,9 @@
   assert_eq!(record.state(), BackendState::Ready);
 }
 
-/// Random histories: processes start one after the other under a few ids, their words arrive late and twice.
+/// Random histories: processes start one after the other under a few ids, and their reports arrive late and twice.
 #[test]
-fn whatever_arrives_late_the_newest_process_is_found_and_one_that_left_is_not_used() {
+fn late_reports_hide_no_new_process_and_revive_no_process_that_left() {
   support::histories(2_000, |u| {
     let mut record = BackendRecord::default();
     let (mut now, mut moment, mut sequence) = (0, 1_000, 0);
@@ -285,10 +293,10 @@
         |one: &BackendReport| one.leaving && Some(&one.process) == record.process();
       assert!(
         record.state() != BackendState::Ready || !sent.iter().any(reported_leaving),
-        "a process that left is used: {record:?}"
+        "a process that left is in use: {record:?}"
       );
     }
-    // The newest one goes on, and is well.
+    // The newest process keeps reporting and is healthy.
     if is_leaving {
       (moment, sequence) = (moment + 1_000, 0);
     }
@@ -303,22 +311,22 @@
   });
 }
 
-/// One that comes back with its data hall may have turned cold without a new start.
+/// A process that returns with its data hall may have turned cold without a restart.
 #[test]
-fn a_process_that_may_have_turned_cold_counts_as_cold_until_it_tells() {
+fn a_process_that_may_have_turned_cold_counts_as_cold_until_it_answers() {
   let mut record = known("i-1", 1);
   assert!(!record.is_cold(Time(10)) && !record.is_in_doubt());
   record.may_be_cold(Time(10), 3_000);
   assert!(record.is_cold(Time(3_000)) && record.is_in_doubt());
   record.probed(Time(20), &instance("i-2"), Some(0));
-  assert!(record.is_cold(Time(20)), "another process says nothing of it");
+  assert!(record.is_cold(Time(20)), "an answer of another process doesn't count");
   record.probed(Time(20), &instance("i-1"), Some(500));
   assert!(record.is_cold(Time(519)) && !record.is_cold(Time(520)) && !record.is_in_doubt());
 }
 
-/// Where its answers do not tell, one that is well is not cold.
+/// A healthy process whose answers don't include a warm-up time isn't cold.
 #[test]
-fn a_probe_that_tells_nothing_of_cold_ends_the_doubt() {
+fn a_health_check_without_a_warm_up_time_clears_the_doubt() {
   let mut record = known("i-1", 1);
   record.may_be_cold(Time(10), 3_000);
   record.probed(Time(20), &instance("i-1"), None);
@@ -326,7 +334,7 @@
 }
 
 #[test]
-fn a_report_tells_how_long_a_process_stays_cold() {
+fn a_report_sets_the_remaining_warm_up() {
   let mut record = known("i-1", 1);
   let cold = BackendReport { cold_left_ms: 700, ..report("i-1", 2, false) };
   assert_eq!(record.reported(Time(100), &cold), Heard::News);
--- a/tests/organisations.rs
+++ b/tests/organisations.rs
@@ -1,5 +1,5 @@
-//! Organisations: whose key a request carries, and rate limits that count over all daemons of a fleet, which spend
-//! tokens that one of them keeps.
+//! Organisations: identification by key, and fleet-wide rate limits enforced with tokens drawn from one daemon's
+//! ledger.
 
 mod support;
 
@@ -15,13 +15,13 @@
   std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Boxes of the largest fleet here.
+/// The size of the largest fleet in these tests.
 const BOXES_MAX: usize = 75;
-/// Milliseconds on the way between two daemons.
+/// The latency between two daemons in milliseconds.
 const DELAY_MS: u64 = 2;
-/// Milliseconds after which a draw without an answer is given up.
+/// Milliseconds after which a draw without an answer fails.
 const DRAW_TIMEOUT_MS: u64 = 200;
-/// Milliseconds of the window over which a fleet's requests are counted.
+/// The window in milliseconds over which admitted requests are counted.
 const WINDOW_MS: u64 = 5_000;
 
 fn name(text: &str) -> OrganisationName {
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_key_proves_its_organisation_and_nothing_else_does() {
+fn only_an_exact_key_identifies_an_organisation() {
   let ring = KeyRing::new(&configuration(&[("council", "secret-1"), ("parish", "secret-2")]));
   let identify = |text: &str| {
     let value = HeaderValue::from_str(text).expect("a value");
@@ -70,9 +70,9 @@
   assert_eq!(ring.identify(None).err(), Some(KeyFault::Missing));
 }
 
-/// An organisation that lost its last key opens nothing, and does not open everything.
+/// Removing the last key of the only organisation must not turn off authentication.
 #[test]
-fn keys_are_needed_also_where_nobody_holds_one() {
+fn keys_are_needed_even_if_no_organisation_holds_one() {
   assert!(!KeyRing::new(&Configuration::default()).is_needed());
   let mut configuration = configuration(&[("council", "secret-1")]);
   for organisation in configuration.organisations.values_mut() {
@@ -84,9 +84,9 @@
   assert_eq!(ring.identify(Some(&value)).err(), Some(KeyFault::Unknown));
 }
 
-/// What a caller sends as its key is read whatever it is.
+/// Any header value can be checked, and only the exact key is accepted.
 #[test]
-fn no_bytes_stop_the_search_for_a_key() {
+fn arbitrary_bytes_are_rejected_as_a_key() {
   let ring = KeyRing::new(&configuration(&[("council", "secret-1")]));
   support::histories(500, |u| {
     let bytes: Vec<u8> = u.arbitrary()?;
@@ -98,8 +98,8 @@
   });
 }
 
-/// A daemon learns that these boxes are there, no others, and that some are lost.
-fn tell(daemon: &mut RateLimits<OrganisationName>, now: u64, boxes: &[BoxId], lost: usize) {
+/// Sets the present boxes and the number of lost boxes at a daemon.
+fn set_boxes(daemon: &mut RateLimits<OrganisationName>, now: u64, boxes: &[BoxId], lost: usize) {
   for index in 0..BOXES_MAX {
     let box_id = box_id(index);
     daemon.note_box(Time(now), &box_id, boxes.contains(&box_id));
@@ -107,21 +107,22 @@
   daemon.set_lost(lost);
 }
 
-enum Coming {
+/// A message between daemons that is in flight.
+enum Message {
   Answer { grant: Option<Grant>, organisation: OrganisationName, to: usize, wanted: u64 },
   Draw { from: usize, keeper: BoxId, organisation: OrganisationName, wanted: u64 },
 }
 
-/// Daemons with the rate limits of some organisations, in virtual time.
+/// Simulated daemons with rate limits, in virtual time.
 struct Fleet {
-  /// When requests of each organisation were admitted.
+  /// The times at which requests of each organisation were admitted.
   admitted: BTreeMap<OrganisationName, Vec<u64>>,
-  coming: BTreeMap<(u64, u64), Coming>,
-  /// Daemons that are cut off from all others.
+  in_flight: BTreeMap<(u64, u64), Message>,
+  /// Daemons that are partitioned from all others.
   cut: BTreeSet<usize>,
   daemons: BTreeMap<usize, RateLimits<OrganisationName>>,
   draws: usize,
-  last: u64,
+  sequence: u64,
   limits: BTreeMap<OrganisationName, RateLimit>,
   now: u64,
   refused: BTreeMap<OrganisationName, usize>,
@@ -132,42 +133,42 @@
   fn new(boxes: usize, limits: &[(&str, RateLimit)]) -> Self {
     let mut fleet = Self {
       admitted: BTreeMap::new(),
-      coming: BTreeMap::new(),
+      in_flight: BTreeMap::new(),
       cut: BTreeSet::new(),
       daemons: (0..boxes).map(|index| (index, RateLimits::default())).collect(),
       draws: 0,
-      last: 0,
+      sequence: 0,
       limits: limits.iter().map(|(organisation, limit)| (name(organisation), *limit)).collect(),
       now: 1_000,
       refused: BTreeMap::new(),
       rng: ChaCha8Rng::seed_from_u64(11),
     };
-    fleet.tell_boxes(0);
+    fleet.set_all_boxes(0);
     fleet.now = 20_000;
     fleet
   }
 
-  /// All daemons learn which of them are there, and how many are lost.
-  fn tell_boxes(&mut self, lost: usize) {
+  /// Tells all daemons which boxes are present and how many are lost.
+  fn set_all_boxes(&mut self, lost: usize) {
     let boxes: Vec<BoxId> = self.daemons.keys().map(|index| box_id(*index)).collect();
     for daemon in self.daemons.values_mut() {
-      tell(daemon, self.now, &boxes, lost);
+      set_boxes(daemon, self.now, &boxes, lost);
     }
   }
 
-  fn at(&mut self, at: u64, coming: Coming) {
-    self.last += 1;
-    self.coming.insert((at, self.last), coming);
+  fn schedule(&mut self, at: u64, message: Message) {
+    self.sequence += 1;
+    self.in_flight.insert((at, self.sequence), message);
   }
 
-  /// Lets requests of each organisation come at random boxes, so many a second, for a time.
+  /// Runs for a time with requests at random boxes. `demand` gives requests per second of each organisation.
   fn run(&mut self, duration_ms: u64, demand: &[(&str, f64)]) {
     let until = self.now + duration_ms;
     while self.now < until {
       self.now += 1;
-      while let Some(first) = self.coming.first_entry().filter(|one| one.key().0 <= self.now) {
-        let coming = first.remove();
-        self.come(coming);
+      while let Some(first) = self.in_flight.first_entry().filter(|one| one.key().0 <= self.now) {
+        let message = first.remove();
+        self.deliver(message);
       }
       for (organisation, per_s) in demand {
         let whole = (per_s / 1_000.0).floor();
@@ -207,13 +208,13 @@
     self.draws += 1;
     let keeper = self.daemons[&from].keeper(organisation).cloned().expect("a keeper");
     let organisation = organisation.clone();
-    self.at(self.now + DELAY_MS, Coming::Draw { from, keeper, organisation, wanted });
+    self.schedule(self.now + DELAY_MS, Message::Draw { from, keeper, organisation, wanted });
   }
 
-  fn come(&mut self, coming: Coming) {
+  fn deliver(&mut self, message: Message) {
     let now = Time(self.now);
-    match coming {
-      Coming::Draw { from, keeper, organisation, wanted } => {
+    match message {
+      Message::Draw { from, keeper, organisation, wanted } => {
         let limit = self.limits[&organisation];
         let is_cut = |index: usize| index != from && self.cut.contains(&index);
         let at = self.daemons.keys().copied().find(|index| box_id(*index) == keeper);
@@ -221,9 +222,10 @@
         let kept = at.and_then(|at| self.daemons.get_mut(&at));
         let grant = kept.map(|daemon| daemon.draw(now, &organisation, limit, wanted));
         let after_ms = if grant.is_some() { DELAY_MS } else { DRAW_TIMEOUT_MS };
-        self.at(self.now + after_ms, Coming::Answer { grant, organisation, to: from, wanted });
+        self
+          .schedule(self.now + after_ms, Message::Answer { grant, organisation, to: from, wanted });
       }
-      Coming::Answer { grant, organisation, to, wanted } => {
+      Message::Answer { grant, organisation, to, wanted } => {
         let limit = self.limits[&organisation];
         let Some(daemon) = self.daemons.get_mut(&to) else {
           return;
@@ -239,14 +241,14 @@
     }
   }
 
-  /// Ends the daemon that keeps an organisation's ledger. The others learn of it later.
-  fn end_keeper(&mut self, organisation: &str) {
+  /// Stops the daemon that owns an organisation's ledger without telling the others.
+  fn stop_ledger_owner(&mut self, organisation: &str) {
     let keeper = self.daemons[&0].keeper(&name(organisation)).cloned();
     self.daemons.retain(|index, _| Some(box_id(*index)) != keeper);
   }
 
-  /// The most requests of an organisation within any window.
-  fn most(&self, organisation: &str) -> usize {
+  /// The most admitted requests of an organisation within any window.
+  fn most_in_window(&self, organisation: &str) -> usize {
     let admitted = self.admitted.get(&name(organisation)).map_or(&[][..], Vec::as_slice);
     let within = |from: usize| admitted.partition_point(|at| *at <= admitted[from] + WINDOW_MS);
     (0..admitted.len()).map(|from| within(from) - from).max().unwrap_or_default()
@@ -257,8 +259,8 @@
     #[allow(clippy::cast_precision_loss)]
     let bound = (limit.rate.requests_per_s() * 5.0 + limit.burst as f64) * 1.1 + 20.0;
     #[allow(clippy::cast_precision_loss)]
-    let most = self.most(organisation) as f64;
-    assert!(most <= bound, "{most} requests of {organisation} in a window, and {bound} may be");
+    let most = self.most_in_window(organisation) as f64;
+    assert!(most <= bound, "{most} requests of {organisation} in a window, the bound is {bound}");
   }
 
   fn refused(&self, organisation: &str) -> usize {
@@ -270,7 +272,7 @@
   }
 }
 
-/// Two organisations of usual shape: a large one, and a small one whose requests are few and far between.
+/// The limits (requests per second and burst) of a large organisation and of a small one with rare requests.
 const LIMITS: [(&str, RateLimitOf); 2] = [("large", (400.0, 400)), ("small", (5.0, 5))];
 
 type RateLimitOf = (f64, u64);
@@ -279,7 +281,7 @@
   LIMITS.map(|(organisation, (per_s, burst))| (organisation, limit(per_s, burst))).to_vec()
 }
 
-/// The pattern of a calm day: five eighths of each limit, at boxes drawn at random.
+/// Demand of about five eighths of each limit, at random boxes.
 #[test]
 fn nothing_is_refused_below_the_limit() {
   for boxes in [1, 13, 75] {
@@ -292,9 +294,9 @@
   }
 }
 
-/// The pattern of one organisation that sends many times its usual: it gets its limit, and the other all it asks for.
+/// One organisation sends many times its usual load. It gets its limit, and the other one gets all it asks for.
 #[test]
-fn an_organisation_that_asks_for_too_much_gets_its_limit() {
+fn an_organisation_over_its_limit_gets_its_limit() {
   for boxes in [1, 13, 75] {
     let mut fleet = Fleet::new(boxes, &limits());
     fleet.run(5_000, &[("large", 250.0), ("small", 3.0)]);
@@ -310,17 +312,17 @@
   }
 }
 
-/// The burst is not given out again by the next daemon that keeps the ledger, nor by daemons that miss it.
+/// The burst must not be given out again by the next owner of the ledger, nor by daemons that can't reach the ledger.
 #[test]
-fn the_limit_holds_as_the_keeper_of_the_ledger_ends() {
+fn the_limit_holds_when_the_owner_of_the_ledger_stops() {
   for organisation in ["large", "small"] {
     let mut fleet = Fleet::new(40, &limits());
     let demand = [("large", 1_900.0), ("small", 40.0)];
     fleet.run(3_000, &demand);
     for _ in 0..3 {
-      fleet.end_keeper(organisation);
+      fleet.stop_ledger_owner(organisation);
       fleet.run(1_000, &demand);
-      fleet.tell_boxes(1);
+      fleet.set_all_boxes(1);
       fleet.run(4_000, &demand);
     }
     fleet.assert_bound("large");
@@ -329,9 +331,9 @@
   }
 }
 
-/// Daemons that are cut off go on with an equal part each, which the ledger leaves to them once they are lost.
+/// Partitioned daemons spend an equal share each. The ledger reserves these shares once the daemons are lost.
 #[test]
-fn the_limit_holds_while_a_third_of_the_fleet_is_cut_off() {
+fn the_limit_holds_while_a_third_of_the_fleet_is_partitioned() {
   let mut fleet = Fleet::new(60, &limits());
   let demand = [("large", 1_900.0), ("small", 30.0)];
   fleet.run(3_000, &demand);
@@ -340,16 +342,16 @@
   let others: Vec<BoxId> = (20..60).map(box_id).collect();
   for daemon in (20..60).collect::<Vec<usize>>() {
     let daemon = fleet.daemons.get_mut(&daemon).expect("it runs");
-    tell(daemon, fleet.now, &others, 20);
+    set_boxes(daemon, fleet.now, &others, 20);
   }
   fleet.run(9_000, &demand);
   fleet.assert_bound("large");
   fleet.assert_bound("small");
 }
 
-/// A limit that the operators lower binds what is held already.
+/// A lowered limit also applies to tokens that are already held.
 #[test]
-fn a_lowered_limit_binds_at_once() {
+fn a_lowered_limit_applies_at_once() {
   let mut fleet = Fleet::new(30, &limits());
   fleet.run(5_000, &[("large", 250.0)]);
   fleet.limits.insert(name("large"), limit(50.0, 50));
@@ -360,9 +362,9 @@
   assert!(fleet.served("large") >= 50 * 9, "{} served", fleet.served("large"));
 }
 
-/// Requests that no backend server got do not count.
+/// Requests that reached no backend server don't count against the limit.
 #[test]
-fn a_token_that_was_not_spent_serves_another_request() {
+fn a_returned_token_admits_another_request() {
   let mut limits: RateLimits<()> = RateLimits::default();
   let (now, organisation, limit) = (Time(0), name("council"), limit(1.0, 1));
   limits.note_box(now, &box_id(0), true);
--- a/tests/rollouts.rs
+++ b/tests/rollouts.rs
@@ -1,6 +1,5 @@
-//! Roll-outs of new versions of a service: good ones are completed and bad ones undone, in time, whoever fails
-//! meanwhile. The load keeps half of the slots busy, and machines take as long as they like within a factor of
-//! seven.
+//! Rollouts of a service: good versions are completed and bad ones rolled back in time, even if boxes or the store
+//! fail meanwhile. The load keeps half of the slots busy, and request durations vary by a factor of seven.
 
 mod support;
 
@@ -17,7 +16,7 @@
 
 /// Boxes of each version.
 const BOXES: usize = 12;
-/// Milliseconds that the operators give a roll-out.
+/// The duration of an order in milliseconds.
 const DURATION_MS: u64 = 14_000;
 
 fn world(seed: u64, fault: Option<Fault>) -> RolloutWorld {
@@ -26,8 +25,8 @@
   world
 }
 
-/// Plays a version to its end. Returns where it ended, and how many milliseconds after the order.
-fn play(world: &mut RolloutWorld) -> (Stage, u64) {
+/// Runs a rollout to its end. Returns the final stage and the milliseconds since the order.
+fn run_rollout(world: &mut RolloutWorld) -> (Stage, u64) {
   world.order(DURATION_MS);
   end(world)
 }
@@ -42,7 +41,7 @@
 fn assert_completed(world: &mut RolloutWorld, (stage, took_ms): (Stage, u64)) {
   assert_eq!(stage, Stage::Completed);
   assert!(took_ms <= DURATION_MS, "{took_ms} ms");
-  assert_eq!(world.cut, 0, "requests ran at backend servers that are stopped at once");
+  assert_eq!(world.cut_off, 0, "requests ran on old backend servers that were stopped");
   world.run(2_000);
   for index in (0..2 * BOXES).filter(|index| world.fleet.runs(*index)) {
     let traffic = world.fleet.traffic[&Followers::box_id(index)].of(&service());
@@ -50,98 +49,104 @@
   }
 }
 
-fn assert_undone(world: &mut RolloutWorld, (stage, took_ms): (Stage, u64)) {
+fn assert_rolled_back(world: &mut RolloutWorld, (stage, took_ms): (Stage, u64)) {
   assert!(matches!(stage, Stage::RolledBack { .. }), "{stage}");
   assert!(took_ms <= DURATION_MS, "{took_ms} ms");
-  // What is left of the order's time counts too.
+  // The exposure limits apply to the rest of the order's time too.
   world.run(DURATION_MS.saturating_sub(took_ms).max(6_000));
-  assert!(world.exposure_holds(), "{:?} arrived, {} late", world.arrived, world.late_arrivals);
+  assert!(
+    world.is_exposure_within_limits(),
+    "{:?} arrived, {} late",
+    world.arrived,
+    world.late_arrivals
+  );
 }
 
 #[test]
-fn a_good_version_is_completed_and_nothing_runs_at_the_old_one_then() {
+fn a_good_version_is_completed_and_the_old_one_is_idle_by_then() {
   for seed in 0..4 {
     let mut world = world(seed, None);
-    let end = play(&mut world);
+    let end = run_rollout(&mut world);
     assert_completed(&mut world, end);
     assert_eq!(world.refused, 0);
   }
 }
 
 #[test]
-fn a_version_that_fails_a_part_of_its_requests_is_undone() {
+fn a_version_that_fails_some_requests_is_rolled_back() {
   for (seed, failing) in [0.2, 0.4, 0.5, 1.0].into_iter().enumerate() {
     let mut world = world(seed as u64, Some(Fault::errors(failing)));
-    let end = play(&mut world);
-    assert_undone(&mut world, end);
+    let end = run_rollout(&mut world);
+    assert_rolled_back(&mut world, end);
   }
 }
 
 #[test]
-fn a_version_that_is_several_times_slower_is_undone() {
+fn a_version_that_is_several_times_slower_is_rolled_back() {
   for (seed, slower) in [4.0, 8.0].into_iter().enumerate() {
     let fault = Fault { slower, ..Fault::errors(0.0) };
     let mut world = world(seed as u64, Some(fault));
-    let end = play(&mut world);
-    assert_undone(&mut world, end);
+    let end = run_rollout(&mut world);
+    assert_rolled_back(&mut world, end);
   }
 }
 
 #[test]
-fn a_version_of_which_a_part_of_the_answers_is_several_times_slower_is_undone() {
+fn a_version_with_some_slow_answers_is_rolled_back() {
   for (seed, slow_part) in [0.3, 0.5].into_iter().enumerate() {
     let fault = Fault { slower: 8.0, slow_part, ..Fault::errors(0.0) };
     let mut world = world(seed as u64, Some(fault));
-    let end = play(&mut world);
-    assert_undone(&mut world, end);
+    let end = run_rollout(&mut world);
+    assert_rolled_back(&mut world, end);
   }
 }
 
 #[test]
-fn a_version_that_is_bad_on_a_route_that_is_seldom_used_is_undone() {
+fn a_version_that_is_bad_on_a_rarely_used_route_is_rolled_back() {
   for seed in 0..3 {
     let fault = Fault { route: Some("seldom"), ..Fault::errors(0.5) };
     let mut world = world(seed, Some(fault));
-    let end = play(&mut world);
-    assert_undone(&mut world, end);
+    let end = run_rollout(&mut world);
+    assert_rolled_back(&mut world, end);
   }
 }
 
 #[test]
-fn a_version_that_turns_bad_seconds_after_its_start_is_undone() {
+fn a_version_that_turns_bad_seconds_after_its_start_is_rolled_back() {
   for (seed, from_ms) in [2_000, 3_000, 4_500].into_iter().enumerate() {
     let mut world = world(seed as u64, Some(Fault { from_ms, ..Fault::errors(0.45) }));
-    let end = play(&mut world);
-    assert_undone(&mut world, end);
+    let end = run_rollout(&mut world);
+    assert_rolled_back(&mut world, end);
   }
 }
 
 #[test]
-fn a_version_that_is_bad_under_the_load_that_it_will_have_is_undone() {
+fn a_version_that_is_bad_under_load_is_rolled_back() {
   for seed in 0..3 {
     let mut world = world(seed, Some(Fault { load_min: 0.5, ..Fault::errors(0.5) }));
-    let end = play(&mut world);
-    assert_undone(&mut world, end);
+    let end = run_rollout(&mut world);
+    assert_rolled_back(&mut world, end);
   }
 }
 
-/// The trouble is that backend server's own, also where it is one of the few that get much.
+/// Guards against blaming the version for the fault of a single backend server, even one that gets the full canary
+/// load.
 #[test]
-fn a_good_version_is_completed_though_one_of_its_backend_servers_fails() {
+fn a_good_version_is_completed_despite_one_faulty_backend_server() {
   for only_box in BOXES..2 * BOXES {
     let fault = Fault { only_box: Some(only_box), ..Fault::errors(0.5) };
     let mut world = world(only_box as u64, Some(fault));
-    let (stage, took_ms) = play(&mut world);
+    let (stage, took_ms) = run_rollout(&mut world);
     assert_eq!(stage, Stage::Completed, "box {only_box}");
     assert!(took_ms <= DURATION_MS, "{took_ms} ms");
   }
 }
 
-/// The decider dies, stands still, or is not served by the store, early or late.
+/// The decider crashes, is paused or loses the store, at several points of the rollout.
 #[test]
-fn another_box_goes_on_where_the_decider_fails() {
+fn another_box_takes_over_from_a_failed_decider() {
   for (seed, after_ms) in [300, 2_500, 6_000, 8_500].into_iter().enumerate() {
-    for trouble in ["killed", "frozen", "unserved"] {
+    for failure in ["killed", "frozen", "unserved"] {
       for fault in [None, Some(Fault { from_ms: 3_000, ..Fault::errors(0.5) })] {
         let is_good = fault.is_none();
         let mut world = world(seed as u64, fault);
@@ -149,27 +154,30 @@
         world.run(after_ms);
         let decider = world.decider();
         let box_id: BoxId = Followers::box_id(decider);
-        match trouble {
+        match failure {
           "killed" => world.kill(decider),
           "frozen" => assert!(world.fleet.frozen.insert(box_id)),
           _ => assert!(world.fleet.unserved.insert(box_id)),
         }
         let end = end(&mut world);
         if is_good {
-          assert_eq!(end.0, Stage::Completed, "{trouble} after {after_ms} ms");
+          assert_eq!(end.0, Stage::Completed, "{failure} after {after_ms} ms");
         } else {
-          assert!(matches!(end.0, Stage::RolledBack { .. }), "{trouble} after {after_ms} ms");
-          assert!(world.exposure_holds(), "{trouble} after {after_ms} ms: {:?}", world.arrived);
+          assert!(matches!(end.0, Stage::RolledBack { .. }), "{failure} after {after_ms} ms");
+          assert!(
+            world.is_exposure_within_limits(),
+            "{failure} after {after_ms} ms: {:?}",
+            world.arrived
+          );
         }
       }
     }
   }
 }
 
-/// A decider that stood still still believes to decide. It neither goes back behind what was decided since nor
-/// brings about another end.
+/// A resumed decider still acts as the decider. It must neither revert later decisions nor reach another end.
 #[test]
-fn a_decider_that_wakes_up_late_changes_nothing() {
+fn a_decider_that_resumes_after_the_end_changes_nothing() {
   for seed in 0..3 {
     let mut world = world(seed, None);
     world.order(DURATION_MS);
@@ -186,7 +194,7 @@
 }
 
 #[test]
-fn a_bad_version_gets_nothing_more_where_the_store_is_away() {
+fn a_bad_version_gets_no_more_requests_while_the_store_is_unavailable() {
   let mut world = world(1, Some(Fault { from_ms: 3_000, ..Fault::errors(0.5) }));
   world.order(DURATION_MS);
   world.run(2_500);
@@ -195,14 +203,14 @@
   world.run(6_000);
   let before = world.arrived.0;
   world.run(2_000);
-  assert_eq!(world.arrived.0, before, "boxes that hear of it go on with a bad version");
+  assert_eq!(world.arrived.0, before, "a bad version still gets requests after the halt");
   world.fleet.unserved.clear();
   let end = end(&mut world);
-  assert_undone(&mut world, end);
+  assert_rolled_back(&mut world, end);
 }
 
 #[test]
-fn a_good_version_is_completed_after_the_store_was_away() {
+fn a_good_version_is_completed_after_a_store_outage() {
   let mut world = world(1, None);
   world.order(DURATION_MS);
   world.run(3_000);
@@ -214,12 +222,12 @@
   assert_completed(&mut world, end);
 }
 
-/// The copy knows nothing of the roll-out; the operators write their order again.
+/// The copy is older than the rollout, and the operators write their order again.
 #[test]
-fn what_was_decided_holds_where_the_store_comes_back_from_a_copy() {
+fn a_rollback_survives_a_restore_of_the_store_from_a_copy() {
   let mut world = world(1, Some(Fault::errors(0.5)));
   world.fleet.keep_copy();
-  let end = play(&mut world);
+  let end = run_rollout(&mut world);
   assert!(matches!(end.0, Stage::RolledBack { .. }));
   world.fleet.go_back();
   world.fleet.write_version(1);
@@ -227,14 +235,14 @@
   world.fleet.write_item(&["op", "orders", "service"], order.into());
   let before = world.arrived.0;
   world.run(8_000);
-  assert_eq!(world.arrived.0, before, "a version that was found bad gets requests again");
+  assert_eq!(world.arrived.0, before, "a rolled back version gets requests again");
   assert!(matches!(world.stage(), Some(Stage::RolledBack { .. })), "{:?}", world.stage());
 }
 
 #[test]
-fn a_box_that_starts_meanwhile_sends_nothing_to_a_version_that_was_undone() {
+fn a_restarted_box_sends_nothing_to_a_rolled_back_version() {
   let mut world = world(1, Some(Fault::errors(0.5)));
-  let end = play(&mut world);
+  let end = run_rollout(&mut world);
   assert!(matches!(end.0, Stage::RolledBack { .. }));
   world.kill(3);
   world.run(500);
@@ -248,7 +256,7 @@
 }
 
 #[test]
-fn a_new_version_without_an_order_gets_nothing() {
+fn a_new_version_without_an_order_gets_no_requests() {
   let mut world = world(1, None);
   (BOXES..BOXES + 4).for_each(|index| world.start(index, "v2"));
   world.run(4_000);
@@ -256,7 +264,7 @@
 }
 
 #[test]
-fn an_order_that_is_taken_back_is_undone() {
+fn a_withdrawn_order_is_rolled_back() {
   let mut world = world(1, None);
   world.order(DURATION_MS);
   world.run(4_000);
@@ -266,7 +274,7 @@
 }
 
 #[test]
-fn an_order_for_the_version_in_force_is_done_at_once() {
+fn an_order_for_the_version_in_force_completes_at_once() {
   let mut world = world(1, None);
   let order = "{\"d\":14000,\"s\":\"service\",\"t\":\"v1\"}";
   world.fleet.write_item(&["op", "orders", "service"], order.into());
@@ -276,7 +284,7 @@
 }
 
 #[test]
-fn an_order_for_a_version_that_nobody_runs_ends_when_its_time_is_over() {
+fn an_order_for_a_version_that_no_box_runs_expires() {
   let mut world = world(1, None);
   let order = "{\"d\":5000,\"s\":\"service\",\"t\":\"v2\"}";
   world.fleet.write_item(&["op", "orders", "service"], order.into());
--- a/tests/support/rollout_world.rs
+++ b/tests/support/rollout_world.rs
@@ -1,4 +1,4 @@
-//! A fleet in virtual time whose backend servers run versions of a service, under a steady load of requests.
+//! A simulated fleet in virtual time whose backend servers run versions of a service under a steady request load.
 
 use super::followers::Followers;
 
@@ -16,35 +16,35 @@
 
 /// Milliseconds of one step of the load.
 const STEP_MS: u32 = 10;
-/// Milliseconds between two words of a box on its backend server.
+/// Milliseconds between two evidence reports of a box.
 const EVIDENCE_MS: u64 = 200;
-/// Milliseconds for which a version that goes out of force still runs requests.
+/// Milliseconds for which a version that is being replaced still runs requests.
 const LEAVING_MS: u64 = 500;
 /// Slots of each backend server.
 const SLOTS: u32 = 8;
-/// Milliseconds that a request usually takes.
+/// The median duration of a request in milliseconds.
 const USUAL_MS: f64 = 100.0;
-/// The part of all slots that the load keeps busy.
+/// The fraction of the old version's slots that the load keeps busy.
 const LOAD: f64 = 0.5;
-/// The share of requests that fail whatever the version.
+/// The share of requests that fail with any version.
 const USUAL_FAILURES: f64 = 0.01;
 
-/// What is wrong with a version.
+/// The fault of a version.
 #[derive(Clone, Debug)]
 pub struct Fault {
   /// The share of requests that fail.
   pub failing: f64,
-  /// Milliseconds after the start of its backend servers from which it is bad.
+  /// Milliseconds after the start of a backend server at which the fault begins.
   pub from_ms: u64,
-  /// The one box at which it is bad; all where there is none.
+  /// The only box with the fault; all boxes if `None`.
   pub only_box: Option<usize>,
-  /// The part of a backend server's slots that must be busy for it to be bad.
+  /// The fraction of a backend server's slots that must be busy for the fault to show.
   pub load_min: f64,
-  /// The route on which it is bad; all where there is none.
+  /// The only route with the fault; all routes if `None`.
   pub route: Option<&'static str>,
-  /// The share of requests that take longer.
+  /// The share of requests that are slowed down.
   pub slow_part: f64,
-  /// How many times as long these take.
+  /// The factor by which these are slower.
   pub slower: f64,
 }
 
@@ -71,7 +71,7 @@
   took_ms: u64,
 }
 
-/// A backend server and the daemon's counts of it.
+/// A backend server and its daemon's counts.
 struct Server {
   leaving_since: Option<u64>,
   observer: Observer,
@@ -81,25 +81,25 @@
 }
 
 pub struct RolloutWorld {
-  /// Boxes of the old version; as many of the new one follow.
+  /// The number of boxes of the old version, and of the new one. The indexes of the new ones follow.
   pub boxes: usize,
-  /// Arrivals at the new version, and all.
+  /// Requests that arrived at the new version, and at both versions.
   pub arrived: (u64, u64),
-  /// When the 50th bad answer came.
+  /// The time of the 50th bad answer.
   pub fiftieth_bad_at: Option<u64>,
   pub fleet: Followers,
   pub fault: Option<Fault>,
-  /// Requests to the new version that came too late after the 50th bad answer.
+  /// Requests that arrived at the new version more than 5 s after the 50th bad answer.
   pub late_arrivals: u64,
-  /// Requests that found nobody, at boxes that know the fleet.
+  /// Requests that no backend server took, at boxes that know the fleet.
   pub refused: u64,
-  /// Requests that ran at old backend servers when the end was told, and that were cut with them.
-  pub cut: u64,
+  /// Requests that were cut off because the old backend servers stopped at the end of the rollout.
+  pub cut_off: u64,
   bad_answers: u64,
   order_at: u64,
   rng: ChaCha8Rng,
   servers: BTreeMap<usize, Server>,
-  /// Requests that are due, in thousandths.
+  /// Requests that are due to be sent; the fraction carries over to the next step.
   due: f64,
 }
 
@@ -112,7 +112,7 @@
 }
 
 impl RolloutWorld {
-  /// A fleet at rest on version v1.
+  /// Creates a fleet that has settled on version v1.
   pub fn new(boxes: usize, seed: u64) -> Self {
     let mut world = Self {
       boxes,
@@ -122,7 +122,7 @@
       fault: None,
       late_arrivals: 0,
       refused: 0,
-      cut: 0,
+      cut_off: 0,
       bad_answers: 0,
       order_at: 0,
       rng: ChaCha8Rng::seed_from_u64(seed),
@@ -137,7 +137,7 @@
     world
   }
 
-  /// Starts a box whose backend server runs a version.
+  /// Starts a box with a backend server of this version.
   pub fn start(&mut self, index: usize, software: &str) {
     let clock_ms = self.fleet.now;
     self.fleet.start_beside(index, clock_ms, EndpointState::Live);
@@ -158,13 +158,13 @@
     self.servers.insert(index, server);
   }
 
-  /// Ends a box and its backend server without a word.
+  /// Crashes a box and its backend server.
   pub fn kill(&mut self, index: usize) {
     self.fleet.stop(index);
     self.servers.remove(&index);
   }
 
-  /// The operators order the new version, whose backend servers start beside the old ones.
+  /// Orders the new version and starts its backend servers beside the old ones.
   pub fn order(&mut self, duration_ms: u64) {
     let order = Order { duration_ms, service: service(), target: version("v2") };
     let text = serde_json::to_string(&order).expect("plain data");
@@ -177,7 +177,7 @@
     }
   }
 
-  /// The record in the store.
+  /// The rollout record in the store.
   pub fn record(&mut self) -> Option<Record> {
     let text = self.fleet.item(&["mesh", "rollouts", "service"])?;
     Some(serde_json::from_str(&text).expect("a record"))
@@ -187,13 +187,13 @@
     self.record().map(|record| record.stage)
   }
 
-  /// The box that decides.
+  /// The index of the decider.
   pub fn decider(&mut self) -> usize {
     let decider = self.record().expect("a record").decider;
     index_of(&decider)
   }
 
-  /// Lets time pass until a roll-out ends, for so long at most. Returns milliseconds since the order.
+  /// Runs until the rollout ends, for `limit_ms` at most. Returns the milliseconds since the order, or `None`.
   pub fn run_to_end(&mut self, limit_ms: u64) -> Option<u64> {
     let until = self.fleet.now + limit_ms;
     while self.fleet.now < until {
@@ -208,11 +208,11 @@
     None
   }
 
-  /// The old backend servers stop at once.
+  /// Stops the old backend servers at once.
   fn end_old_servers(&mut self) {
     for index in 0..self.boxes {
       if let Some(server) = self.servers.remove(&index) {
-        self.cut += server.running.len() as u64;
+        self.cut_off += server.running.len() as u64;
       }
     }
   }
@@ -224,7 +224,7 @@
       self.end_runs();
       self.send_requests();
       if self.fleet.now.is_multiple_of(EVIDENCE_MS) {
-        self.tell_evidence();
+        self.send_evidence();
       }
     }
   }
@@ -281,11 +281,11 @@
         }
       }
     }
-    // A box that does not know the fleet yet gets callers only by chance.
+    // A box that doesn't know the fleet yet isn't ready for callers, so its failures don't count.
     self.refused += u64::from(is_ready);
   }
 
-  /// A request arrives at a box. Returns whether its backend server runs it.
+  /// Delivers a request to a box. Returns whether its backend server runs it.
   fn arrive(&mut self, index: usize, lane: Lane) -> bool {
     let now = self.fleet.now;
     let own = self.fleet.traffic.get(&Followers::box_id(index)).filter(|table| table.is_known());
@@ -331,7 +331,7 @@
     true
   }
 
-  fn tell_evidence(&mut self) {
+  fn send_evidence(&mut self) {
     let now = self.fleet.now;
     let indexes: Vec<usize> = self.servers.keys().copied().collect();
     for index in indexes {
@@ -358,8 +358,8 @@
     server.observer.tell(&endpoint, has_left && server.running.is_empty())
   }
 
-  /// Whether a version that is bad received no more than it may: a tenth of all, and fifty.
-  pub fn exposure_holds(&self) -> bool {
+  /// Whether a bad version stayed within its exposure limits: a tenth of all requests plus fifty, and none too late.
+  pub fn is_exposure_within_limits(&self) -> bool {
     let (new, all) = self.arrived;
     new <= all / 10 + 50 && self.late_arrivals == 0
   }
