--- a/src/administration/questions.rs
+++ b/src/administration/questions.rs
@@ -44,7 +44,7 @@
   };
   let mut table = Table::new(&["version", "route", "answers", "failed", "mean_power_of_2_ms"]);
   for version in record.base.iter().chain([&record.order.target]) {
-    for (route, seen) in rollout.seen(now, version) {
+    for (route, seen) in rollout.tallies(now, version) {
       let mean = format!("{:.1}", seen.mean_power());
       let (answers, failed) = (json!(seen.answers), json!(seen.failures));
       table.add([json!(version.as_str()), json!(route.as_str()), answers, failed, json!(mean)]);
@@ -52,7 +52,7 @@
   }
   let base = record.base.as_ref().map_or("no version", SoftwareVersion::as_str);
   let held_up_by =
-    rollout.held_up_by().map_or(String::new(), |why| format!("; not further: {why}"));
+    rollout.blocked_by().map_or(String::new(), |why| format!("; not further: {why}"));
   let message = format!(
     "{base} to {}, step {} by {}, {} of {} ms after its order: {}{held_up_by}",
     record.order.target,
--- a/src/daemon/health.rs
+++ b/src/daemon/health.rs
@@ -53,7 +53,7 @@
 pub async fn find_instance(node: Rc<Node>) {
   let shared = &node.shared;
   loop {
-    let is_in_doubt = shared.backend.borrow().is_in_doubt();
+    let is_in_doubt = shared.backend.borrow().needs_health_check();
     if is_in_doubt && let Some((instance, cold_ms)) = ask_instance(shared).await {
       node.backend_probed(&instance, cold_ms);
     }
--- a/src/distribution/follower/era.rs
+++ b/src/distribution/follower/era.rs
@@ -37,7 +37,7 @@
     self.neighbours_revision = None;
     self.failing_since = None;
     self.rollout_calls.clear();
-    self.rollouts.store_went_back();
+    self.rollouts.store_restored();
     self.announce();
     if self.must_watch() {
       self.read_configuration(false);
--- a/src/distribution/follower/mod.rs
+++ b/src/distribution/follower/mod.rs
@@ -309,7 +309,7 @@
 
   /// The fleet is told how requests ended at the backend server of this box.
   fn runs_ended(&mut self, what: RunOutcome) {
-    self.own.add_finding(RunFinding { id: self.rng.random(), what });
+    self.own.add_finding(RunFinding { id: self.rng.random(), outcome: what });
     self.announce();
   }
 
--- a/src/distribution/follower/rollouts.rs
+++ b/src/distribution/follower/rollouts.rs
@@ -14,7 +14,7 @@
           "the operators order {service} to run {} within {} ms, at revision {}",
           order.target, order.duration_ms, entry.revision
         ));
-        self.rollouts.ordered(self.now.time, &order, entry.revision);
+        self.rollouts.order_found(self.now.time, &order, entry.revision);
       }
       Ok(order) => self.log(format!("the order for {service} speaks of {}", order.service)),
       Err(reason) => self.log(format!("the order for {service} cannot be read: {reason}")),
@@ -28,7 +28,7 @@
     }
     if let Some(service) = self.source.ordered_service(key) {
       self.log(format!("the operators took back their order for {service}"));
-      let actions = self.rollouts.withdrawn(self.now.time, &service);
+      let actions = self.rollouts.order_withdrawn(self.now.time, &service);
       self.carry_out(actions);
     }
   }
@@ -36,13 +36,13 @@
   /// A record was read among the entries of the directory.
   pub(super) fn note_rollout(&mut self, service: &ServiceName, entry: &Entry) {
     let (now, unix_ms) = (self.now.time, self.now.unix_ms);
-    let actions = self.rollouts.found(now, unix_ms, service, entry);
+    let actions = self.rollouts.record_found(now, unix_ms, service, entry);
     self.carry_out(actions);
   }
 
   /// A neighbour told where a roll-out stands.
-  pub(super) fn rollout_told(&mut self, link: LinkId, word: &rollout::Word) {
-    let (is_new, actions) = self.rollouts.heard(self.now.time, word);
+  pub(super) fn rollout_told(&mut self, link: LinkId, word: &rollout::RolloutUpdate) {
+    let (is_new, actions) = self.rollouts.update_received(self.now.time, word);
     if is_new && actions.is_empty() {
       self.tell_rollout(word, Some(link));
     }
@@ -51,12 +51,12 @@
 
   /// A new neighbour is told of all roll-outs.
   pub(super) fn tell_rollouts_to(&mut self, link: LinkId) {
-    for word in self.rollouts.words(self.now.time) {
+    for word in self.rollouts.updates(self.now.time) {
       self.send(link, Message::Rollout(Box::new(word)));
     }
   }
 
-  fn tell_rollout(&mut self, word: &rollout::Word, but: Option<LinkId>) {
+  fn tell_rollout(&mut self, word: &rollout::RolloutUpdate, but: Option<LinkId>) {
     let links: Vec<LinkId> = self.links.keys().copied().filter(|link| Some(*link) != but).collect();
     for link in links {
       self.send(link, Message::Rollout(Box::new(word.clone())));
@@ -70,9 +70,9 @@
           let call = self.call_store(request);
           self.rollout_calls.insert(call, service);
         }
-        RolloutAction::Changed => self.tell_traffic(),
+        RolloutAction::TrafficChanged => self.tell_traffic(),
         RolloutAction::Log(text) => self.log(text),
-        RolloutAction::Spread(word) => self.tell_rollout(&word, None),
+        RolloutAction::Broadcast(word) => self.tell_rollout(&word, None),
       }
     }
   }
@@ -121,12 +121,12 @@
   }
 
   pub(super) fn tick_rollouts(&mut self) {
-    for service in self.rollouts.services_at_work() {
+    for service in self.rollouts.active_services() {
       let is_of = |endpoint: &&Endpoint| endpoint.service == service;
       let endpoints = self.endpoints.present().filter(is_of).collect();
       let hears_all = self.watchers.is_one(&self.own.peer.box_id);
       let view = view(&self.identity, self.now, endpoints);
-      let view = FleetView { hears_all, rank: self.decider_rank(&service), ..view };
+      let view = FleetView { receives_all_evidence: hears_all, rank: self.decider_rank(&service), ..view };
       let actions = self.rollouts.tick(&service, &view);
       self.carry_out(actions);
     }
@@ -147,7 +147,7 @@
   pub(super) fn evidence_told(&mut self, from: Option<LinkId>, told: Vec<Evidence>) {
     let now = self.now.time;
     for evidence in told {
-      if self.rollouts.observed(now, &evidence) {
+      if self.rollouts.evidence_received(now, &evidence) {
         self.evidence.push((from, evidence));
       }
     }
@@ -181,7 +181,7 @@
 fn view<'a>(identity: &'a Identity, now: Moment, endpoints: Vec<&'a Endpoint>) -> FleetView<'a> {
   FleetView {
     endpoints,
-    hears_all: false,
+    receives_all_evidence: false,
     limits: identity.share_limits,
     now: now.time,
     own_box: &identity.endpoint.peer.box_id,
--- a/src/distribution/message.rs
+++ b/src/distribution/message.rs
@@ -49,7 +49,7 @@
   /// The relays changed.
   Relays(Relays),
   /// Where a roll-out stands.
-  Rollout(Box<rollout::Word>),
+  Rollout(Box<rollout::RolloutUpdate>),
   /// Asks for configuration and news.
   Subscribe(Box<Subscribe>),
   /// A newer version.
--- a/src/fleet/backend_record.rs
+++ b/src/fleet/backend_record.rs
@@ -10,12 +10,12 @@
 pub struct BackendRecord {
   /// A process that reported and isn't confirmed yet. Never the running process.
   candidate: Option<Candidate>,
-  /// Whether the process may have turned cold without a report, so that the health endpoint should be asked.
-  cold_in_doubt: bool,
   /// The end of the warm-up, during which the process is slow.
   cold_until: Time,
   /// Whether any process reported its start time. Either all processes of a fleet do or none does.
-  knows_births: bool,
+  has_start_times: bool,
+  /// Whether the process may have turned cold without a report, so that the health endpoint should be asked.
+  is_cold_unconfirmed: bool,
   /// Processes that left or are leaving, oldest first.
   left: VecDeque<Process>,
   /// The running process.
@@ -64,66 +64,65 @@
 
   /// The least milliseconds over which these reports must arrive. Delayed reports arrive all at once, and by this time
   /// the health endpoint has been asked a few times.
-  const REPORTS_OVER_MS: u64 = 1_000;
+  const REPORTS_MIN_SPAN_MS: u64 = 1_000;
 
   /// Handles a report.
-  pub fn reported(&mut self, now: Time, report: &BackendReport) -> Heard {
-    if report.process.born.is_none() && self.knows_births {
-      return Heard::Foreign("the report lacks the start time of its process");
+  pub fn reported(&mut self, now: Time, report: &BackendReport) -> ReportOutcome {
+    if report.process.started_at.is_none() && self.has_start_times {
+      return ReportOutcome::Rejected("the report lacks the start time of its process");
     }
     if self.has_left(&report.process) {
-      return Heard::Late;
+      return ReportOutcome::Stale;
     }
     match &self.process {
-      Some(running) if running.may_be(&report.process) => self.running_reported(now, report),
+      Some(running) if running.may_be_same(&report.process) => self.running_reported(now, report),
       _ if report.leaving => self.leaving_reported(now, report),
       _ => self.candidate_reported(now, report),
     }
   }
 
-  fn running_reported(&mut self, now: Time, report: &BackendReport) -> Heard {
+  fn running_reported(&mut self, now: Time, report: &BackendReport) -> ReportOutcome {
     if self.service.as_ref().is_some_and(|service| *service != report.service) {
-      return Heard::Foreign("the process reported another service before");
+      return ReportOutcome::Rejected("the process reported another service before");
     }
     if report.sequence <= self.sequence {
-      return Heard::Late;
+      return ReportOutcome::Stale;
     }
     // Another process that reported meanwhile is not the running one.
     self.candidate = None;
     self.take(now, report);
-    Heard::News
+    ReportOutcome::Accepted
   }
 
   /// Handles a report of another process than the running one that it is leaving.
-  fn leaving_reported(&mut self, now: Time, report: &BackendReport) -> Heard {
-    let is_successor = self
-      .process
-      .as_ref()
-      .is_none_or(|running| running.id == report.process.id && running.is_before(&report.process));
+  fn leaving_reported(&mut self, now: Time, report: &BackendReport) -> ReportOutcome {
+    let is_successor = self.process.as_ref().is_none_or(|running| {
+      running.id == report.process.id && running.started_before(&report.process)
+    });
     if is_successor {
       self.adopt(now, report);
-      return Heard::News;
+      return ReportOutcome::Accepted;
     }
     self.candidate.take_if(|candidate| candidate.report.process == report.process);
     self.remember_left(report.process.clone());
-    if self.is_former(&report.process) { Heard::Late } else { Heard::News }
+    if self.is_former(&report.process) { ReportOutcome::Stale } else { ReportOutcome::Accepted }
   }
 
   /// Handles a report of another process than the running one that it is ready.
-  fn candidate_reported(&mut self, now: Time, report: &BackendReport) -> Heard {
+  fn candidate_reported(&mut self, now: Time, report: &BackendReport) -> ReportOutcome {
     let same = |candidate: &&Candidate| candidate.report.process == report.process;
     let known = self.candidate.as_ref().filter(same);
     if known.is_some_and(|candidate| report.sequence <= candidate.report.sequence) {
-      return Heard::Late;
+      return ReportOutcome::Stale;
     }
     let first_at = known.map_or(now, |candidate| candidate.first_at);
     let reports = 1 + known.map_or(0, |candidate| candidate.reports);
-    if reports >= Self::REPORTS_MIN && now.since_ms(first_at) >= Self::REPORTS_OVER_MS {
+    if reports >= Self::REPORTS_MIN && now.since_ms(first_at) >= Self::REPORTS_MIN_SPAN_MS {
       self.adopt(now, report);
     } else {
       self.candidate = Some(Candidate { first_at, report: report.clone(), reports });
     }
-    Heard::News
+    ReportOutcome::Accepted
   }
 
   /// Makes the reporting process the running one.
@@ -135,11 +134,11 @@
 
   /// Applies a report of the running process.
   fn take(&mut self, now: Time, report: &BackendReport) {
-    self.knows_births |= report.process.born.is_some();
+    self.has_start_times |= report.process.started_at.is_some();
     self.process = Some(report.process.clone());
     self.sequence = report.sequence;
     self.cold_until = now.after(report.cold_left_ms);
-    self.cold_in_doubt = false;
+    self.is_cold_unconfirmed = false;
     self.service = Some(report.service.clone());
     self.slots = Some(report.slots);
     self.software.clone_from(&report.software);
@@ -151,40 +150,40 @@
 
   /// Handles the deregistration of a process.
   pub fn deregistered(&mut self, process: &Process) {
-    let Some(running) = self.process.clone().filter(|running| running.may_be(process)) else {
-      self.candidate.take_if(|candidate| candidate.report.process.may_be(process));
+    let Some(running) = self.process.clone().filter(|running| running.may_be_same(process)) else {
+      self.candidate.take_if(|candidate| candidate.report.process.may_be_same(process));
       return self.remember_left(process.clone());
     };
     self.state = BackendState::Leaving;
-    let born = running.born.or(process.born);
-    self.remember_left(Process { born, id: running.id });
+    let started_at = running.started_at.or(process.started_at);
+    self.remember_left(Process { started_at, id: running.id });
   }
 
   /// Assumes that the process is cold for `cold_ms` milliseconds until it reports or answers a health check.
-  pub fn may_be_cold(&mut self, now: Time, cold_ms: u64) {
+  pub fn assume_cold(&mut self, now: Time, cold_ms: u64) {
     self.cold_until = self.cold_until.max(now.after(cold_ms));
-    self.cold_in_doubt = cold_ms > 0;
+    self.is_cold_unconfirmed = cold_ms > 0;
   }
 
   /// Handles a health check that found a process with this id. `cold_ms` is its remaining warm-up in milliseconds, if
   /// reported.
-  pub fn probed(&mut self, now: Time, id: &InstanceId, cold_ms: Option<u64>) {
-    self.take_probe(now, id);
+  pub fn health_checked(&mut self, now: Time, id: &InstanceId, cold_ms: Option<u64>) {
+    self.apply_health_check(now, id);
     let is_running = self.process.as_ref().is_some_and(|running| running.id == *id);
-    if is_running && (cold_ms.is_some() || self.cold_in_doubt) {
+    if is_running && (cold_ms.is_some() || self.is_cold_unconfirmed) {
       self.cold_until = now.after(cold_ms.unwrap_or_default());
-      self.cold_in_doubt = false;
+      self.is_cold_unconfirmed = false;
     }
   }
 
-  fn take_probe(&mut self, now: Time, id: &InstanceId) {
+  fn apply_health_check(&mut self, now: Time, id: &InstanceId) {
     let is_former = self.candidate.as_ref().is_some_and(|one| self.is_former(&one.report.process));
     let named = |candidate: &mut Candidate| candidate.report.process.id == *id && !is_former;
     if let Some(candidate) = self.candidate.take_if(named) {
       return self.adopt(now, &candidate.report);
     }
     if self.process.is_none() && !self.left.iter().any(|left| left.id == *id) {
-      self.process = Some(Process { born: None, id: id.clone() });
+      self.process = Some(Process { started_at: None, id: id.clone() });
     }
     if self.process.as_ref().is_none_or(|running| running.id != *id) {
       return;
@@ -200,21 +199,22 @@
 
   /// Whether a process had the running one's id before it. The health endpoint can't distinguish the two.
   fn is_former(&self, process: &Process) -> bool {
-    let is_same_id = |running: &Process| running.id == process.id && process.is_before(running);
-    self.process.as_ref().is_some_and(is_same_id)
+    let has_same_id =
+      |running: &Process| running.id == process.id && process.started_before(running);
+    self.process.as_ref().is_some_and(has_same_id)
   }
 
   /// Whether the health endpoint should be asked for the running process and its warm-up.
-  pub fn is_in_doubt(&self) -> bool {
-    self.candidate.is_some() || self.cold_in_doubt || self.state == BackendState::Unknown
+  pub fn needs_health_check(&self) -> bool {
+    self.candidate.is_some() || self.is_cold_unconfirmed || self.state == BackendState::Unknown
   }
 
   /// Handles a refused connection to the backend server, or an answer from another process.
-  pub fn vanished(&mut self) {
+  pub fn became_unreachable(&mut self) {
     if self.state == BackendState::Ready {
       self.state = BackendState::Unknown;
       // The next process may have the same id, and without start times it can't be distinguished.
-      if !self.knows_births {
+      if !self.has_start_times {
         self.sequence = 0;
       }
     }
@@ -224,7 +224,7 @@
     if let Some(former) = self.process.replace(process) {
       self.starts = self.starts.saturating_add(1);
       // Two processes with start times stay ordered even if the wrong one was taken for the running one.
-      if former.born.is_none() || self.state == BackendState::Leaving {
+      if former.started_at.is_none() || self.state == BackendState::Leaving {
         self.remember_left(former);
       }
     }
--- a/src/fleet/endpoint.rs
+++ b/src/fleet/endpoint.rs
@@ -52,7 +52,7 @@
 
   /// Adds a finding of this box about requests that ran on it.
   pub fn add_finding(&mut self, finding: RunFinding) {
-    if let RunOutcome::Survived(survivors) = &finding.what {
+    if let RunOutcome::Survived(survivors) = &finding.outcome {
       self.forget_crashes_of(survivors);
     }
     if self.findings.len() >= Self::FINDINGS_MAX {
@@ -64,7 +64,7 @@
   /// Removes requests that have since completed on this box from the crash suspects.
   fn forget_crashes_of(&mut self, survivors: &[Fingerprint]) {
     for finding in &mut self.findings {
-      if let RunOutcome::Crashed(suspects) = &mut finding.what {
+      if let RunOutcome::Crashed(suspects) = &mut finding.outcome {
         suspects.retain(|suspect| !survivors.contains(suspect));
       }
     }
--- a/src/fleet/endpoint_table.rs
+++ b/src/fleet/endpoint_table.rs
@@ -14,11 +14,11 @@
 
 impl EndpointTable {
   /// Milliseconds for which a gone box is remembered, so that a late status doesn't revive it.
-  pub const GONE_KEPT_MS: u64 = 600_000;
+  pub const GONE_RETENTION_MS: u64 = 600_000;
 
-  /// Removes boxes that have been gone for longer than [`Self::GONE_KEPT_MS`]. Returns whether there were any.
+  /// Removes boxes that have been gone for longer than [`Self::GONE_RETENTION_MS`]. Returns whether there were any.
   pub fn expire(&mut self, now: Time) -> bool {
-    let old = |since: &Time| now.since_ms(*since) > Self::GONE_KEPT_MS;
+    let old = |since: &Time| now.since_ms(*since) > Self::GONE_RETENTION_MS;
     let expired: Vec<BoxId> =
       self.gone_since.iter().filter(|(_, since)| old(since)).map(|(id, _)| id.clone()).collect();
     for box_id in &expired {
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -8,9 +8,9 @@
   endpoint::Endpoint,
   endpoint_state::EndpointState,
   endpoint_table::EndpointTable,
-  heard::Heard,
   peer::Peer,
   process::Process,
+  report_outcome::ReportOutcome,
   run_finding::{RunFinding, RunOutcome},
   service_endpoints::ServiceEndpoints,
 };
@@ -20,8 +20,8 @@
 mod endpoint;
 mod endpoint_state;
 mod endpoint_table;
-mod heard;
 mod peer;
 mod process;
+mod report_outcome;
 mod run_finding;
 mod service_endpoints;
--- a/src/fleet/run_finding.rs
+++ b/src/fleet/run_finding.rs
@@ -9,7 +9,7 @@
   pub id: u64,
   /// The requests and how they ended.
   #[serde(rename = "w")]
-  pub what: RunOutcome,
+  pub outcome: RunOutcome,
 }
 
 /// How requests on a backend server ended.
--- a/src/fleet/service_endpoints.rs
+++ b/src/fleet/service_endpoints.rs
@@ -16,7 +16,7 @@
 
 impl ServiceEndpoints {
   /// Updates a box from its newest status.
-  pub fn take(&mut self, endpoint: &Endpoint) {
+  pub fn update(&mut self, endpoint: &Endpoint) {
     let box_id = &endpoint.peer.box_id;
     self.remove(box_id);
     if endpoint.state == EndpointState::Lost {
--- a/src/node/backend_side.rs
+++ b/src/node/backend_side.rs
@@ -74,7 +74,7 @@
     if before != BackendState::Leaving {
       self.backend_crashed(reason);
     }
-    self.backend.borrow_mut().vanished();
+    self.backend.borrow_mut().became_unreachable();
     if self.backend_state() != before {
       warn!(self.log.logger, "the backend server is not known to be up"; "reason" => reason);
     }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -12,7 +12,7 @@
     UnreadableEntry,
   },
   fleet::{
-    BackendRecord, BackendReport, BackendState, Endpoint, EndpointState, Heard, Peer, Process,
+    BackendRecord, BackendReport, BackendState, Endpoint, EndpointState, ReportOutcome, Peer, Process,
     RunOutcome, ServiceEndpoints,
   },
   links::{self, Credentials, IncomingFrames, Outgoing},
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -14,18 +14,18 @@
   const BORN_AHEAD_MAX_MS: u64 = 60_000;
 
   /// The backend server reported, or somebody in its name.
-  pub fn backend_reported(&self, report: &BackendReport) -> Heard {
+  pub fn backend_reported(&self, report: &BackendReport) -> ReportOutcome {
     let now = self.shared.now().time;
     let heard = match self.why_foreign(report) {
-      Some(reason) => Heard::Foreign(reason),
+      Some(reason) => ReportOutcome::Rejected(reason),
       None => {
         self.change_backend(&report.process, report.sequence, |record| record.reported(now, report))
       }
     };
     let told = match heard {
-      Heard::Foreign(reason) => reason,
-      Heard::Late => "it is late",
-      Heard::News => return heard,
+      ReportOutcome::Rejected(reason) => reason,
+      ReportOutcome::Stale => "it is late",
+      ReportOutcome::Accepted => return heard,
     };
     debug!(
       self.shared.log.logger, "a report of a backend server was passed over";
@@ -37,7 +37,7 @@
   /// Why a report cannot be one of this box's backend server.
   fn why_foreign(&self, report: &BackendReport) -> Option<&'static str> {
     let latest = self.shared.now().unix_ms.saturating_add(Self::BORN_AHEAD_MAX_MS);
-    if report.process.born.is_some_and(|born| born.0 > latest) {
+    if report.process.started_at.is_some_and(|born| born.0 > latest) {
       return Some("its process has not started yet");
     }
     let service = &report.service;
@@ -56,8 +56,8 @@
   /// The health endpoint answered for a process.
   pub fn backend_probed(&self, id: &InstanceId, cold_ms: Option<u64>) {
     let now = self.shared.now().time;
-    let process = Process { born: None, id: id.clone() };
-    self.change_backend(&process, 0, |record| record.probed(now, id, cold_ms));
+    let process = Process { started_at: None, id: id.clone() };
+    self.change_backend(&process, 0, |record| record.health_checked(now, id, cold_ms));
   }
 
   /// Changes what is known of the backend server, and tells the fleet and the log what came of it.
--- a/src/node/places.rs
+++ b/src/node/places.rs
@@ -21,7 +21,7 @@
     *self.evacuated.borrow_mut() = Rc::new(evacuated);
     if was_evacuated && !self.is_evacuated() {
       let cold_ms = self.cold_start().map_or(0, |cold| cold.duration_ms);
-      self.backend.borrow_mut().may_be_cold(self.now().time, cold_ms);
+      self.backend.borrow_mut().assume_cold(self.now().time, cold_ms);
     }
   }
 
--- a/src/node/rollout_side.rs
+++ b/src/node/rollout_side.rs
@@ -13,7 +13,7 @@
   pub fn set_traffic(&self, traffic: BTreeMap<ServiceName, Traffic>) {
     self.traffic.borrow_mut().set(traffic);
     let own = self.own_traffic();
-    self.observer.borrow_mut().watch(own.ordered_at);
+    self.observer.borrow_mut().set_rollout(own.order_revision);
     let is_leaving =
       self.backend.borrow().software().is_some_and(|software| own.is_leaving(software));
     let since = self.leaving_since.get().unwrap_or_else(|| self.now().time);
@@ -34,7 +34,7 @@
       return Some("the fleet is not known yet");
     }
     let own = self.own_traffic();
-    own.why_out_of_force(self.backend.borrow().software())
+    own.rejection_reason(self.backend.borrow().software())
   }
 
   fn has_left_force(&self) -> bool {
@@ -50,6 +50,6 @@
     }
     self.evidence_at.set(now);
     let is_closed = self.has_left_force() && self.load() == (0, 0);
-    self.observer.borrow_mut().tell(own, is_closed)
+    self.observer.borrow_mut().evidence(own, is_closed)
   }
 }
--- a/src/node/shared.rs
+++ b/src/node/shared.rs
@@ -282,14 +282,14 @@
       let mut endpoints = self.endpoints.borrow_mut();
       let mut rate_limits = self.rate_limits.borrow_mut();
       for endpoint in news {
-        endpoints.take(endpoint);
+        endpoints.update(endpoint);
         let box_id = &endpoint.peer.box_id;
-        rate_limits.note_box(now, box_id, !endpoint.state.is_gone());
+        rate_limits.set_box(now, box_id, !endpoint.state.is_gone());
         if endpoint.state.is_gone() {
           self.balancer.borrow_mut().forget(box_id);
         }
       }
-      rate_limits.set_lost(endpoints.lost());
+      rate_limits.set_lost_boxes(endpoints.lost());
       self.metrics.live_endpoints.set(i64::try_from(endpoints.live()).unwrap_or(i64::MAX));
       if let Some(deployment) = &self.settings.deployment {
         let (ratio, extra) = (deployment.retry_ratio, deployment.retry_extra);
--- a/src/organisations/demand_meter.rs
+++ b/src/organisations/demand_meter.rs
@@ -9,18 +9,18 @@
 
 impl DemandMeter {
   /// The decay time: after this many milliseconds a request counts about a third (1/e).
-  const MEMORY_MS: f64 = 1_000.0;
+  const DECAY_MS: f64 = 1_000.0;
 
   /// Records requests that arrive at `now`.
   #[allow(clippy::cast_precision_loss)]
-  pub fn note(&mut self, now: Time, requests: u64) {
-    self.per_s = self.per_s(now) + requests as f64 * 1_000.0 / Self::MEMORY_MS;
+  pub fn record(&mut self, now: Time, requests: u64) {
+    self.per_s = self.per_s(now) + requests as f64 * 1_000.0 / Self::DECAY_MS;
     self.at = now;
   }
 
   /// The rate in requests per second at `now`.
   #[allow(clippy::cast_precision_loss)]
   pub fn per_s(&self, now: Time) -> f64 {
-    self.per_s * (-(now.since_ms(self.at) as f64) / Self::MEMORY_MS).exp()
+    self.per_s * (-(now.since_ms(self.at) as f64) / Self::DECAY_MS).exp()
   }
 }
--- a/src/organisations/key_ring.rs
+++ b/src/organisations/key_ring.rs
@@ -5,14 +5,14 @@
 /// Keys are looked up by digest, so the lookup time reveals nothing about the stored keys.
 #[derive(Clone, Debug, Default)]
 pub struct KeyRing {
+  by_key: BTreeMap<KeyDigest, Rc<CallerOrganisation>>,
   /// Whether any organisation is configured, even if none of them holds a key.
   is_needed: bool,
-  members: BTreeMap<KeyDigest, Rc<Member>>,
 }
 
 /// The settings of a caller's organisation.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Member {
+pub struct CallerOrganisation {
   /// The organisation.
   pub organisation: OrganisationName,
   /// The priority of its requests, if configured.
@@ -26,18 +26,18 @@
 impl KeyRing {
   /// Builds the key ring of a configuration.
   pub fn new(configuration: &Configuration) -> Self {
-    let mut members = BTreeMap::new();
+    let mut by_key = BTreeMap::new();
     for (name, organisation) in &configuration.organisations {
       let organisation = &organisation.value;
-      let member = Rc::new(Member {
+      let caller = Rc::new(CallerOrganisation {
         organisation: name.clone(),
         priority: organisation.priority,
         rate_limit: organisation.rate_limit,
         regions: organisation.regions.clone(),
       });
-      members.extend(organisation.keys.iter().map(|key| (*key, member.clone())));
+      by_key.extend(organisation.keys.iter().map(|key| (*key, caller.clone())));
     }
-    Self { is_needed: !configuration.organisations.is_empty(), members }
+    Self { is_needed: !configuration.organisations.is_empty(), by_key }
   }
 
   /// Whether requests must carry a key.
@@ -50,9 +50,12 @@
   /// # Errors
   ///
   /// Fails if the header holds no bearer key or if no organisation holds the key.
-  pub fn identify(&self, authorization: Option<&HeaderValue>) -> Result<Rc<Member>, KeyFault> {
+  pub fn identify(
+    &self,
+    authorization: Option<&HeaderValue>,
+  ) -> Result<Rc<CallerOrganisation>, KeyFault> {
     let key = authorization.and_then(|value| bearer(value.as_bytes())).ok_or(KeyFault::Missing)?;
-    self.members.get(&KeyDigest::of(key)).cloned().ok_or(KeyFault::Unknown)
+    self.by_key.get(&KeyDigest::of(key)).cloned().ok_or(KeyFault::Unknown)
   }
 }
 
--- a/src/organisations/ledger.rs
+++ b/src/organisations/ledger.rs
@@ -11,7 +11,7 @@
 impl Ledger {
   /// The fraction of the burst that a new ledger starts with. Its previous owner may have just given out all
   /// of it.
-  const FIRST_PART: f64 = 0.1;
+  const INITIAL_FRACTION: f64 = 0.1;
   /// The shortest retry delay of a caller without a token, in milliseconds.
   const RETRY_MIN_MS: f64 = 100.0;
   /// The longest retry delay of a caller without a token, in milliseconds.
@@ -21,8 +21,8 @@
   #[allow(clippy::cast_precision_loss)]
   pub fn new(now: Time, limit: RateLimit, alone_ms: u64) -> Self {
     let earned = limit.rate.requests_per_s() * alone_ms as f64 / 1_000.0;
-    let most = Self::most(limit, 1.0);
-    let tokens = (most * Self::FIRST_PART + earned).min(most);
+    let most = Self::capacity(limit, 1.0);
+    let tokens = (most * Self::INITIAL_FRACTION + earned).min(most);
     Self { bucket: TokenBucket::new(now, tokens), unmet: DemandMeter::default() }
   }
 
@@ -30,9 +30,9 @@
   #[allow(clippy::cast_possible_truncation, clippy::cast_precision_loss, clippy::cast_sign_loss)]
   pub fn draw(&mut self, now: Time, limit: RateLimit, share: f64, wanted: u64) -> Grant {
     let per_s = limit.rate.requests_per_s() * share;
-    self.bucket.fill(now, per_s, Self::most(limit, share));
+    self.bucket.fill(now, per_s, Self::capacity(limit, share));
     let tokens = self.bucket.take(wanted);
-    self.unmet.note(now, wanted - tokens);
+    self.unmet.record(now, wanted - tokens);
     let retry_after_ms = self.unmet.per_s(now) * 1_000.0 / per_s.max(f64::MIN_POSITIVE);
     let retry_after_ms = retry_after_ms.clamp(Self::RETRY_MIN_MS, Self::RETRY_MAX_MS) as u64;
     Grant { retry_after_ms, tokens }
@@ -40,8 +40,8 @@
 
   /// The capacity in tokens. At least one, or no request would ever be admitted.
   #[allow(clippy::cast_precision_loss)]
-  fn most(limit: RateLimit, share: f64) -> f64 {
-    let spent_late = limit.rate.requests_per_s() * TOKENS_KEPT_MS as f64 / 1_000.0;
+  fn capacity(limit: RateLimit, share: f64) -> f64 {
+    let spent_late = limit.rate.requests_per_s() * TOKEN_LIFETIME_MS as f64 / 1_000.0;
     ((limit.burst as f64 - spent_late) * share).max(1.0)
   }
 }
--- a/src/organisations/keepers.rs
+++ b/src/organisations/ledger_owners.rs
@@ -3,17 +3,17 @@
 /// Assigns the ledger of each organisation to a box by rendezvous hashing: the box with the highest hash of both
 /// names owns it. Daemons that know the same boxes agree, and a box that joins or leaves moves only its own ledgers.
 #[derive(Clone, Debug, Default)]
-pub struct Keepers {
+pub struct LedgerOwners {
   /// The present boxes, with the hashes of their names.
   boxes: BTreeMap<BoxId, u64>,
   /// When the set of boxes last changed.
   changed_at: Time,
 }
 
-impl Keepers {
+impl LedgerOwners {
   /// Records whether a box is present.
-  pub fn note(&mut self, now: Time, box_id: &BoxId, is_there: bool) {
-    let changes = if is_there {
+  pub fn set_box(&mut self, now: Time, box_id: &BoxId, is_present: bool) {
+    let changes = if is_present {
       self.boxes.insert(box_id.clone(), hash(box_id.as_str())).is_none()
     } else {
       self.boxes.remove(box_id).is_some()
@@ -24,7 +24,7 @@
   }
 
   /// Returns the box that owns an organisation's ledger, or `None` if no box is known.
-  pub fn keeper(&self, organisation: &OrganisationName) -> Option<&BoxId> {
+  pub fn owner(&self, organisation: &OrganisationName) -> Option<&BoxId> {
     let seed = hash(organisation.as_str());
     let best = self.boxes.iter().max_by_key(|(_, hash)| mix(*hash ^ seed));
     best.map(|(box_id, _)| box_id)
--- a/src/organisations/mod.rs
+++ b/src/organisations/mod.rs
@@ -10,26 +10,26 @@
 
 pub use self::{
   grant::Grant,
-  keepers::Keepers,
   key_fault::KeyFault,
-  key_ring::{KeyRing, Member},
-  rate_limits::{Admission, Arrived, RateLimits, Woken},
+  key_ring::{CallerOrganisation, KeyRing},
+  ledger_owners::LedgerOwners,
+  rate_limits::{Admission, ArrivalOutcome, DrawOutcome, RateLimits},
 };
 
 use self::{
-  allotment::Allotment, demand_meter::DemandMeter, ledger::Ledger, token_bucket::TokenBucket,
+  demand_meter::DemandMeter, ledger::Ledger, local_tokens::LocalTokens, token_bucket::TokenBucket,
 };
 
 /// Milliseconds for which a daemon may spend the tokens that it drew. The ledger gives out others meanwhile, so its
 /// capacity is the burst less the tokens of this time.
-const TOKENS_KEPT_MS: u64 = 200;
+const TOKEN_LIFETIME_MS: u64 = 200;
 
-mod allotment;
 mod demand_meter;
 mod grant;
-mod keepers;
 mod key_fault;
 mod key_ring;
 mod ledger;
+mod ledger_owners;
+mod local_tokens;
 mod rate_limits;
 mod token_bucket;
--- a/src/organisations/rate_limits.rs
+++ b/src/organisations/rate_limits.rs
@@ -5,11 +5,11 @@
 /// `W` is the handle that wakes a waiting request.
 #[derive(Clone, Debug)]
 pub struct RateLimits<W> {
-  allotments: BTreeMap<OrganisationName, Allotment<W>>,
-  keepers: Keepers,
   ledgers: BTreeMap<OrganisationName, Ledger>,
   /// The number of lost boxes. They may be partitioned and still spend tokens on their own.
   lost: usize,
+  owners: LedgerOwners,
+  tokens: BTreeMap<OrganisationName, LocalTokens<W>>,
 }
 
 /// Whether a request of an organisation is admitted.
@@ -26,7 +26,7 @@
 
 /// The result of a request's arrival.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Arrived {
+pub struct ArrivalOutcome {
   /// The request's admission, or `None` if it waits for the ledger.
   pub admission: Option<Admission>,
   /// The number of tokens to draw from the ledger now, or `None` if no draw is needed or one is in progress.
@@ -35,7 +35,7 @@
 
 /// The result of a draw from the ledger.
 #[derive(Clone, Debug)]
-pub struct Woken<W> {
+pub struct DrawOutcome<W> {
   /// The number of tokens to draw for requests that arrived meanwhile.
   pub draw: Option<u64>,
   /// Requests that no longer wait, with their admissions.
@@ -46,36 +46,36 @@
   /// Milliseconds for which requests are refused without asking the ledger after it had too few tokens.
   const REFUSED_MS: u64 = 50;
   /// The retry delay in milliseconds of callers that are refused while the ledger is unreachable.
-  const SPARE_RETRY_MS: u64 = 500;
+  const FALLBACK_RETRY_MS: u64 = 500;
   /// The capacity of the fallback bucket, in seconds of the daemon's share of the rate.
-  const SPARE_S: f64 = 0.25;
+  const FALLBACK_CAPACITY_S: f64 = 0.25;
   /// Milliseconds for which a ledger that did not answer isn't asked again.
   const UNREACHABLE_MS: u64 = 500;
 
   /// Records whether a box is present.
-  pub fn note_box(&mut self, now: Time, box_id: &BoxId, is_there: bool) {
-    self.keepers.note(now, box_id, is_there);
+  pub fn set_box(&mut self, now: Time, box_id: &BoxId, is_present: bool) {
+    self.owners.set_box(now, box_id, is_present);
   }
 
   /// Sets the number of lost boxes, which may still spend tokens.
-  pub fn set_lost(&mut self, lost: usize) {
+  pub fn set_lost_boxes(&mut self, lost: usize) {
     self.lost = lost;
   }
 
   /// Removes all boxes.
   pub fn forget_boxes(&mut self) {
-    self.keepers = Keepers::default();
+    self.owners = LedgerOwners::default();
   }
 
   /// Removes organisations that no longer have a limit, except for tokens that requests wait for.
   pub fn retain(&mut self, is_limited: impl Fn(&OrganisationName) -> bool) {
-    self.allotments.retain(|name, one| !one.waiting.is_empty() || is_limited(name));
+    self.tokens.retain(|name, one| !one.waiting.is_empty() || is_limited(name));
     self.ledgers.retain(|name, _| is_limited(name));
   }
 
   /// Returns the box that owns an organisation's ledger.
-  pub fn keeper(&self, organisation: &OrganisationName) -> Option<&BoxId> {
-    self.keepers.keeper(organisation)
+  pub fn ledger_owner(&self, organisation: &OrganisationName) -> Option<&BoxId> {
+    self.owners.owner(organisation)
   }
 
   /// Handles the arrival of a request. `waiter` is stored if the request has to wait, and dropped otherwise.
@@ -85,58 +85,58 @@
     organisation: &OrganisationName,
     limit: RateLimit,
     waiter: W,
-  ) -> Arrived {
+  ) -> ArrivalOutcome {
     let equal_share = self.equal_share();
-    let allotment = self.allotments.entry(organisation.clone()).or_default();
-    allotment.demand.note(now, 1);
-    if allotment.take(now) {
-      return Arrived { admission: Some(Admission::Admitted), draw: allotment.draw(now) };
+    let local = self.tokens.entry(organisation.clone()).or_default();
+    local.demand.record(now, 1);
+    if local.take(now) {
+      return ArrivalOutcome { admission: Some(Admission::Admitted), draw: local.draw(now) };
     }
-    if let Some((until, retry_after_ms)) = allotment.refused
+    if let Some((until, retry_after_ms)) = local.refused
       && now < until
     {
-      return Arrived { admission: Some(Admission::Refused { retry_after_ms }), draw: None };
+      return ArrivalOutcome { admission: Some(Admission::Refused { retry_after_ms }), draw: None };
     }
-    if now < allotment.unreachable_until {
-      let admission = allotment.spend_spare(now, limit, equal_share);
-      return Arrived { admission: Some(admission), draw: None };
+    if now < local.unreachable_until {
+      let admission = local.spend_fallback(now, limit, equal_share);
+      return ArrivalOutcome { admission: Some(admission), draw: None };
     }
-    allotment.waiting.push_back(waiter);
-    Arrived { admission: None, draw: allotment.draw(now) }
+    local.waiting.push_back(waiter);
+    ArrivalOutcome { admission: None, draw: local.draw(now) }
   }
 
   /// Handles the ledger's answer to a draw of `wanted` tokens; `grant` is `None` if no answer came.
-  pub fn drawn(
+  pub fn draw_completed(
     &mut self,
     now: Time,
     organisation: &OrganisationName,
     limit: RateLimit,
     wanted: u64,
     grant: Option<Grant>,
-  ) -> Woken<W> {
+  ) -> DrawOutcome<W> {
     let equal_share = self.equal_share();
-    let allotment = self.allotments.entry(organisation.clone()).or_default();
-    allotment.is_drawing = false;
+    let local = self.tokens.entry(organisation.clone()).or_default();
+    local.is_drawing = false;
     let mut settled = Vec::new();
     let Some(grant) = grant else {
-      allotment.unreachable_until = now.after(Self::UNREACHABLE_MS);
-      while let Some(waiter) = allotment.waiting.pop_front() {
-        settled.push((waiter, allotment.spend_spare(now, limit, equal_share)));
+      local.unreachable_until = now.after(Self::UNREACHABLE_MS);
+      while let Some(waiter) = local.waiting.pop_front() {
+        settled.push((waiter, local.spend_fallback(now, limit, equal_share)));
       }
-      return Woken { draw: None, settled };
+      return DrawOutcome { draw: None, settled };
     };
-    allotment.put(now, grant.tokens);
-    while !allotment.waiting.is_empty() && allotment.take(now) {
-      settled.extend(allotment.waiting.pop_front().map(|waiter| (waiter, Admission::Admitted)));
+    local.put(now, grant.tokens);
+    while !local.waiting.is_empty() && local.take(now) {
+      settled.extend(local.waiting.pop_front().map(|waiter| (waiter, Admission::Admitted)));
     }
-    if grant.tokens < wanted && !allotment.waiting.is_empty() {
+    if grant.tokens < wanted && !local.waiting.is_empty() {
       let retry_after_ms = grant.retry_after_ms;
-      allotment.refused = Some((now.after(Self::REFUSED_MS), retry_after_ms));
-      let refused = allotment.waiting.drain(..);
+      local.refused = Some((now.after(Self::REFUSED_MS), retry_after_ms));
+      let refused = local.waiting.drain(..);
       settled.extend(refused.map(|waiter| (waiter, Admission::Refused { retry_after_ms })));
     }
-    let draw = if allotment.waiting.is_empty() { None } else { allotment.draw(now) };
-    Woken { draw, settled }
+    let draw = if local.waiting.is_empty() { None } else { local.draw(now) };
+    DrawOutcome { draw, settled }
   }
 
   /// Draws tokens, for any daemon, from a ledger that this daemon owns.
@@ -147,8 +147,8 @@
     limit: RateLimit,
     wanted: u64,
   ) -> Grant {
-    let alone_ms = now.since_ms(self.keepers.changed_at());
-    let present = self.keepers.count();
+    let alone_ms = now.since_ms(self.owners.changed_at());
+    let present = self.owners.count();
     let share = ratio(present, present + self.lost);
     let ledger = self.ledgers.entry(organisation.clone());
     let ledger = ledger.or_insert_with(|| Ledger::new(now, limit, alone_ms));
@@ -156,26 +156,30 @@
   }
 
   /// Returns the token of an admitted request that reached no backend server.
-  pub fn give_back(&mut self, now: Time, organisation: &OrganisationName) {
-    if let Some(allotment) = self.allotments.get_mut(organisation) {
-      allotment.put(now, 1);
+  pub fn return_token(&mut self, now: Time, organisation: &OrganisationName) {
+    if let Some(local) = self.tokens.get_mut(organisation) {
+      local.put(now, 1);
     }
   }
 
   /// The fraction of a limit that each daemon may spend while it can't reach the ledger.
   fn equal_share(&self) -> f64 {
-    ratio(1, (self.keepers.count() + self.lost).max(1))
+    ratio(1, (self.owners.count() + self.lost).max(1))
   }
 }
 
 impl<W> Default for RateLimits<W> {
   fn default() -> Self {
-    let (allotments, ledgers) = (BTreeMap::new(), BTreeMap::new());
-    Self { allotments, keepers: Keepers::default(), ledgers, lost: 0 }
+    Self {
+      ledgers: BTreeMap::new(),
+      lost: 0,
+      owners: LedgerOwners::default(),
+      tokens: BTreeMap::new(),
+    }
   }
 }
 
-impl<W> Allotment<W> {
+impl<W> LocalTokens<W> {
   /// Starts a draw if one is due. Returns the number of tokens to draw.
   fn draw(&mut self, now: Time) -> Option<u64> {
     let wanted = self.wanted(now);
@@ -187,14 +191,14 @@
   }
 
   /// Decides from the fallback bucket. The first request is admitted, so that a small organisation is served.
-  fn spend_spare(&mut self, now: Time, limit: RateLimit, share: f64) -> Admission {
+  fn spend_fallback(&mut self, now: Time, limit: RateLimit, share: f64) -> Admission {
     let per_s = limit.rate.requests_per_s() * share;
     // Holds no burst, as the ledger may have just given it out.
-    let most = (per_s * RateLimits::<W>::SPARE_S).max(1.0);
-    let spare = self.spare.get_or_insert_with(|| TokenBucket::new(now, most));
-    spare.fill(now, per_s, most);
-    match spare.take(1) {
-      0 => Admission::Refused { retry_after_ms: RateLimits::<W>::SPARE_RETRY_MS },
+    let most = (per_s * RateLimits::<W>::FALLBACK_CAPACITY_S).max(1.0);
+    let fallback = self.fallback.get_or_insert_with(|| TokenBucket::new(now, most));
+    fallback.fill(now, per_s, most);
+    match fallback.take(1) {
+      0 => Admission::Refused { retry_after_ms: RateLimits::<W>::FALLBACK_RETRY_MS },
       _ => Admission::Admitted,
     }
   }
--- a/src/platform/control.rs
+++ b/src/platform/control.rs
@@ -78,22 +78,22 @@
   let heard = node.backend_reported(&BackendReport {
     cold_left_ms: status.cold_left,
     leaving: status.state == ReportedState::Draining,
-    process: Process { born: born(&fields)?, id },
+    process: Process { started_at: born(&fields)?, id },
     sequence: status.call_seq,
     service: info.service,
     slots: info.slots.get(),
     software: info.version,
   });
   match heard {
-    Heard::Foreign(reason) => Err(reason.into()),
-    Heard::Late | Heard::News => Ok(()),
+    ReportOutcome::Rejected(reason) => Err(reason.into()),
+    ReportOutcome::Stale | ReportOutcome::Accepted => Ok(()),
   }
 }
 
 /// Some processes say nothing of themselves as they go: then it is the one that bears the id.
 fn deregister(node: &Node, id: InstanceId, body: &[u8]) -> Result<(), String> {
   let born = if body.is_empty() { None } else { born(&Fields::of(text(body)?)?)? };
-  node.backend_deregistered(&Process { born, id });
+  node.backend_deregistered(&Process { started_at: born, id });
   Ok(())
 }
 
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -10,7 +10,7 @@
     CallerLimits, ColdStart, Configuration, Handling, Organisation, Patch, Policy, RateLimit,
     Revised, Route, Service, Source, Unreadable, WeightedService,
   },
-  fleet::{BackendReport, Heard, Process},
+  fleet::{BackendReport, ReportOutcome, Process},
   node::{Dialect, Node},
   rollout::{self, Order, Record, Stage},
   store::{
--- a/src/proxy/carry.rs
+++ b/src/proxy/carry.rs
@@ -83,8 +83,8 @@
   let head = pass_on(shared, head, &incoming, &class);
   let fingerprint = head.fingerprint(&class, &body);
   let only_box = check_standing(shared, fingerprint, &service)?;
-  let lane = shared.traffic.borrow_mut().deal(&service, &mut shared.rng.borrow_mut());
-  let is_watched = shared.traffic.borrow().of(&service).ordered_at.is_some();
+  let lane = shared.traffic.borrow_mut().next_lane(&service, &mut shared.rng.borrow_mut());
+  let is_watched = shared.traffic.borrow().of(&service).order_revision.is_some();
   let forwarded = Forwarded {
     answer_bytes: shared.answer_sizes.borrow().expected_bytes(&matched.route),
     attempts_max: handling.attempts.unwrap_or(policy_attempts),
@@ -225,7 +225,7 @@
 
 /// The regions in which both the route and the caller's organisation let a request be served; nothing where it may be
 /// anywhere.
-fn allowed_regions(handling: &Handling, member: Option<&Member>) -> Option<BTreeSet<Region>> {
+fn allowed_regions(handling: &Handling, member: Option<&CallerOrganisation>) -> Option<BTreeSet<Region>> {
   let of_member = member.map(|member| &member.regions);
   let bounds = [Some(&handling.regions), of_member].into_iter().flatten();
   let bounds = bounds.filter(|regions| !regions.is_empty()).cloned();
--- a/src/proxy/held_run.rs
+++ b/src/proxy/held_run.rs
@@ -63,7 +63,7 @@
 ) -> Option<BoxId> {
   let endpoints = shared.endpoints_of(service);
   let traffic = shared.traffic.borrow().of(service);
-  let lane = traffic.main_lane();
+  let lane = traffic.default_lane();
   let live =
     endpoints.iter().filter(|one| one.state == EndpointState::Live && traffic.admits(one, lane));
   Quarantine::trial_box(fingerprint, live.map(|one| &one.peer.box_id)).cloned()
--- a/src/proxy/membership.rs
+++ b/src/proxy/membership.rs
@@ -13,7 +13,7 @@
   shared: &Shared,
   matched: &RouteMatch,
   headers: &HeaderMap,
-) -> std::result::Result<Option<Rc<Member>>, Refusal> {
+) -> std::result::Result<Option<Rc<CallerOrganisation>>, Refusal> {
   let keys = shared.key_ring();
   if !keys.is_needed() {
     return Ok(None);
@@ -52,7 +52,7 @@
   /// Waits until the rate limit admits the request, or refuses it.
   pub async fn admit(
     shared: &Rc<Shared>,
-    member: Option<&Member>,
+    member: Option<&CallerOrganisation>,
   ) -> std::result::Result<Self, Refusal> {
     let limited = member.and_then(|member| Some((&member.organisation, member.rate_limit?)));
     let mut admitted = Self { organisation: None, shared: shared.clone() };
@@ -82,7 +82,7 @@
   fn drop(&mut self) {
     if let Some(organisation) = self.organisation.take() {
       let now = self.shared.now().time;
-      self.shared.rate_limits.borrow_mut().give_back(now, &organisation);
+      self.shared.rate_limits.borrow_mut().return_token(now, &organisation);
     }
   }
 }
@@ -114,7 +114,7 @@
   loop {
     let grant = draw_once(&shared, &organisation, limit, wanted).await;
     let now = shared.now().time;
-    let woken = shared.rate_limits.borrow_mut().drawn(now, &organisation, limit, wanted, grant);
+    let woken = shared.rate_limits.borrow_mut().draw_completed(now, &organisation, limit, wanted, grant);
     debug!(
       shared.log.logger, #Log::REQUEST, "tokens were drawn";
       "organisation" => organisation.as_str(), "wanted" => wanted,
@@ -138,7 +138,7 @@
   limit: RateLimit,
   wanted: u64,
 ) -> Option<Grant> {
-  let keeper = shared.rate_limits.borrow().keeper(organisation).cloned();
+  let keeper = shared.rate_limits.borrow().ledger_owner(organisation).cloned();
   let own_box = &shared.settings.box_id;
   let Some(keeper) = keeper.filter(|keeper| keeper != own_box) else {
     let now = shared.now().time;
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -10,7 +10,7 @@
   configuration::{Handling, Policy, RateLimit},
   fleet::{BackendState, EndpointState, Process},
   node::Shared,
-  organisations::{Admission, Grant, KeyFault, Member},
+  organisations::{Admission, Grant, KeyFault, CallerOrganisation},
   requests::{
     Arrival, Attempt, AttemptOutcome, BackendMonitor, CallerClass, Claim, ClaimState, ClaimStep,
     ClaimTicket, Completion, Condition, Demand, Dispatch, DispatchEvent, DispatchStep, ExchangeId,
--- a/src/proxy/observed_run.rs
+++ b/src/proxy/observed_run.rs
@@ -40,7 +40,7 @@
     let took = took.filter(|_| !self.is_cold);
     let took_ms = took.map(|took| u64::try_from(took.as_millis()).unwrap_or(u64::MAX));
     if let Some(route) = &self.route {
-      self.shared.observer.borrow_mut().ran(route, failed, took_ms);
+      self.shared.observer.borrow_mut().record_run(route, failed, took_ms);
     }
   }
 }
--- a/src/requests/dispatch.rs
+++ b/src/requests/dispatch.rs
@@ -269,7 +269,7 @@
   /// Chooses among all boxes but some. A request of the new version's share goes to the version in force where
   /// nobody of the new one can run it at once: the share is there to learn, not to make callers wait.
   fn choose_but(&self, tried: &[&BoxId], around: &mut Surroundings) -> Choice {
-    let main_lane = around.traffic.main_lane();
+    let main_lane = around.traffic.default_lane();
     let is_first = self.ended.is_empty() && self.running.is_empty() && self.lost == 0;
     if self.terms.lane == Lane::Target && main_lane == Lane::InForce && is_first {
       let choice = self.choose_of(tried, Lane::Target, around);
--- a/src/requests/quarantine.rs
+++ b/src/requests/quarantine.rs
@@ -78,13 +78,13 @@
     let mut changes = Vec::new();
     // A daemon that starts hears all at once, in no order: what ran to its end anywhere is cleared.
     for (box_id, finding) in &fresh {
-      if let RunOutcome::Crashed(suspects) = &finding.what {
+      if let RunOutcome::Crashed(suspects) = &finding.outcome {
         changes
           .extend(suspects.iter().filter_map(|suspect| self.count_crash(now, box_id, *suspect)));
       }
     }
     for (_, finding) in &fresh {
-      if let RunOutcome::Survived(survivors) = &finding.what {
+      if let RunOutcome::Survived(survivors) = &finding.outcome {
         changes.extend(survivors.iter().filter_map(|survivor| self.clear(*survivor)));
       }
     }
--- a/src/rollout/canary.rs
+++ b/src/rollout/canary.rs
@@ -11,5 +11,5 @@
   pub permille: u32,
   /// The index of the canary step.
   #[serde(rename = "r")]
-  pub rung: usize,
+  pub step_index: usize,
 }
--- a/src/rollout/evidence.rs
+++ b/src/rollout/evidence.rs
@@ -15,7 +15,7 @@
   pub incarnation: Incarnation,
   /// The rollout, identified by the store's revision of its order.
   #[serde(rename = "r")]
-  pub ordered_at: Revision,
+  pub order_revision: Revision,
   /// Grows with each report of one incarnation.
   #[serde(rename = "n")]
   pub sequence: u64,
@@ -33,7 +33,7 @@
 impl Evidence {
   /// Whether this evidence replaces other evidence of the same box.
   pub fn is_newer_than(&self, other: &Self) -> bool {
-    let rank = |evidence: &Self| (evidence.ordered_at, evidence.incarnation, evidence.sequence);
+    let rank = |evidence: &Self| (evidence.order_revision, evidence.incarnation, evidence.sequence);
     rank(self) > rank(other)
   }
 }
--- a/src/rollout/evidence_book.rs
+++ b/src/rollout/evidence_history.rs
@@ -2,28 +2,29 @@
 
 /// The answer counts of each backend server of a service, over the last seconds and since the rollout began.
 #[derive(Clone, Debug, Default)]
-pub(super) struct EvidenceBook {
-  boxes: BTreeMap<BoxId, Known>,
+pub(super) struct EvidenceHistory {
+  boxes: BTreeMap<BoxId, BoxEvidence>,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
-  heard_at: Time,
-  /// Earlier tallies with the time they were received, oldest first.
-  former: VecDeque<(Time, Rc<BTreeMap<RouteName, Tally>>)>,
+struct BoxEvidence {
   newest: Evidence,
+  received_at: Time,
+  /// Earlier tallies with the time they were received, oldest first.
+  samples: VecDeque<(Time, Rc<BTreeMap<RouteName, Tally>>)>,
 }
 
-impl EvidenceBook {
+impl EvidenceHistory {
   /// The least milliseconds between two retained samples of a box.
-  const KEPT_EACH_MS: u64 = 250;
+  const SAMPLE_INTERVAL_MS: u64 = 250;
   /// Milliseconds for which earlier samples are retained.
-  const KEPT_MS: u64 = 3_000;
+  const SAMPLE_RETENTION_MS: u64 = 3_000;
 
   /// Records the evidence of a box. Returns whether it is new.
-  pub(super) fn hear(&mut self, now: Time, evidence: &Evidence) -> bool {
+  pub(super) fn record_evidence(&mut self, now: Time, evidence: &Evidence) -> bool {
     let Some(known) = self.boxes.get_mut(&evidence.box_id) else {
-      let known = Known { heard_at: now, former: VecDeque::new(), newest: evidence.clone() };
+      let known =
+        BoxEvidence { received_at: now, samples: VecDeque::new(), newest: evidence.clone() };
       self.boxes.insert(evidence.box_id.clone(), known);
       return true;
     };
@@ -47,7 +48,7 @@
 
   /// Whether evidence of a box came within the last `age_ms`.
   pub(super) fn is_fresh(&self, now: Time, box_id: &BoxId, age_ms: u64) -> bool {
-    self.boxes.get(box_id).is_some_and(|known| now.since_ms(known.heard_at) <= age_ms)
+    self.boxes.get(box_id).is_some_and(|known| now.since_ms(known.received_at) <= age_ms)
   }
 
   /// Failed answers of a box since the rollout began.
@@ -63,31 +64,36 @@
 
   /// Boxes that run a version and sent evidence within the last `age_ms`.
   pub(super) fn fresh_of(&self, now: Time, software: &SoftwareVersion, age_ms: u64) -> Vec<&BoxId> {
-    let is_of =
-      |known: &&Known| known.newest.software == *software && now.since_ms(known.heard_at) <= age_ms;
+    let is_of = |known: &&BoxEvidence| {
+      known.newest.software == *software && now.since_ms(known.received_at) <= age_ms
+    };
     self.boxes.values().filter(is_of).map(|known| &known.newest.box_id).collect()
   }
 }
 
-impl Known {
+impl BoxEvidence {
   fn take(&mut self, now: Time, evidence: &Evidence) {
     let before = &self.newest;
     let is_another = before.incarnation != evidence.incarnation
       || before.software != evidence.software
-      || before.ordered_at != evidence.ordered_at;
+      || before.order_revision != evidence.order_revision;
     if is_another {
-      self.former.clear();
+      self.samples.clear();
     } else if self
-      .former
+      .samples
       .back()
-      .is_none_or(|(at, _)| self.heard_at.since_ms(*at) >= EvidenceBook::KEPT_EACH_MS)
+      .is_none_or(|(at, _)| self.received_at.since_ms(*at) >= EvidenceHistory::SAMPLE_INTERVAL_MS)
     {
-      self.former.push_back((self.heard_at, Rc::new(before.tallies.clone())));
+      self.samples.push_back((self.received_at, Rc::new(before.tallies.clone())));
     }
-    while self.former.front().is_some_and(|(at, _)| now.since_ms(*at) > EvidenceBook::KEPT_MS) {
-      self.former.pop_front();
+    while self
+      .samples
+      .front()
+      .is_some_and(|(at, _)| now.since_ms(*at) > EvidenceHistory::SAMPLE_RETENTION_MS)
+    {
+      self.samples.pop_front();
     }
-    self.heard_at = now;
+    self.received_at = now;
     self.newest = evidence.clone();
   }
 
@@ -97,7 +103,7 @@
     };
     let is_before =
       |(at, _): &&(Time, Rc<BTreeMap<RouteName, Tally>>)| now.since_ms(*at) >= window_ms;
-    let Some((_, before)) = self.former.iter().rev().find(is_before) else {
+    let Some((_, before)) = self.samples.iter().rev().find(is_before) else {
       return self.newest.tallies.clone();
     };
     let since = |(route, tally): (&RouteName, &Tally)| {
--- a/src/rollout/fleet_view.rs
+++ b/src/rollout/fleet_view.rs
@@ -5,9 +5,6 @@
 pub struct FleetView<'a> {
   /// The boxes of the service that are not gone.
   pub endpoints: Vec<&'a Endpoint>,
-  /// Whether this box receives the evidence of all boxes, and so can tell a bad version from a single faulty
-  /// backend server.
-  pub hears_all: bool,
   /// How many requests a bad version may receive.
   pub limits: ShareLimits,
   /// The current time.
@@ -16,6 +13,9 @@
   pub own_box: &'a BoxId,
   /// The number of boxes ahead of this one in the order of deciders, or `None` if this box can't be the decider.
   pub rank: Option<u64>,
+  /// Whether this box receives the evidence of all boxes, and so can tell a bad version from a single faulty
+  /// backend server.
+  pub receives_all_evidence: bool,
   /// The current time in milliseconds since 1970.
   pub unix_ms: u64,
 }
@@ -42,7 +42,10 @@
   }
 
   /// Returns the version, other than `but`, that most boxes run, or `None` if no version is known.
-  pub(super) fn usual_version(&self, but: Option<&SoftwareVersion>) -> Option<SoftwareVersion> {
+  pub(super) fn most_common_version(
+    &self,
+    but: Option<&SoftwareVersion>,
+  ) -> Option<SoftwareVersion> {
     let mut boxes: BTreeMap<&SoftwareVersion, (usize, Reverse<Incarnation>)> = BTreeMap::new();
     for endpoint in &self.endpoints {
       let Some(software) = endpoint.software.as_ref().filter(|one| Some(*one) != but) else {
--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -12,31 +12,33 @@
 };
 
 use self::{
-  evidence_book::EvidenceBook, judge::judge, pending_call::PendingCall, plan::Rung, stored::Stored,
+  canary_step::CanaryStep, evidence_history::EvidenceHistory, pending_call::PendingCall,
+  regression::find_regression, stored::Stored,
 };
 
 pub use self::{
   canary::Canary, evidence::Evidence, fleet_view::FleetView, lane::Lane, observer::Observer,
   order::Order, record::Record, rollout::Rollout, rollout_action::RolloutAction,
-  rollouts::Rollouts, share_limits::ShareLimits, stage::Stage, tally::Tally, traffic::Traffic,
-  traffic_table::TrafficTable, word::Word,
+  rollout_update::RolloutUpdate, rollouts::Rollouts, share_limits::ShareLimits, stage::Stage,
+  tally::Tally, traffic::Traffic, traffic_table::TrafficTable,
 };
 
 mod canary;
+mod canary_step;
 mod evidence;
-mod evidence_book;
+mod evidence_history;
 mod fleet_view;
-mod judge;
 pub mod keys;
 mod lane;
 mod observer;
 mod order;
 mod pending_call;
-mod plan;
 mod record;
+mod regression;
 #[allow(clippy::module_inception)]
 mod rollout;
 mod rollout_action;
+mod rollout_update;
 mod rollouts;
 mod share_limits;
 mod stage;
@@ -44,4 +46,3 @@
 mod tally;
 mod traffic;
 mod traffic_table;
-mod word;
--- a/src/rollout/observer.rs
+++ b/src/rollout/observer.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Observer {
   /// The rollout that the counts belong to.
-  ordered_at: Option<Revision>,
+  order_revision: Option<Revision>,
   sequence: u64,
   tallies: BTreeMap<RouteName, Tally>,
 }
@@ -14,9 +14,9 @@
   const ROUTES_MAX: usize = 24;
 
   /// Starts counting for a rollout, or stops if `None`. Keeps the counts of an unchanged rollout.
-  pub fn watch(&mut self, ordered_at: Option<Revision>) {
-    if self.ordered_at != ordered_at {
-      *self = Self { ordered_at, sequence: self.sequence, tallies: BTreeMap::new() };
+  pub fn set_rollout(&mut self, order_revision: Option<Revision>) {
+    if self.order_revision != order_revision {
+      *self = Self { order_revision, sequence: self.sequence, tallies: BTreeMap::new() };
     }
   }
 
@@ -26,22 +26,22 @@
   }
 
   /// Counts a run on a route. `took_ms` is its duration, given only for a backend server that is warm.
-  pub fn ran(&mut self, route: &RouteName, failed: bool, took_ms: Option<u64>) {
+  pub fn record_run(&mut self, route: &RouteName, failed: bool, took_ms: Option<u64>) {
     let is_counted = self.tallies.contains_key(route) || self.tallies.len() < Self::ROUTES_MAX;
-    if self.ordered_at.is_some() && is_counted {
+    if self.order_revision.is_some() && is_counted {
       self.tallies.entry(route.clone()).or_default().add(failed, took_ms);
     }
   }
 
   /// Returns the evidence to send, or `None` without a rollout or while the version is unknown.
-  pub fn tell(&mut self, of: &Endpoint, closed: bool) -> Option<Evidence> {
-    let (ordered_at, software) = self.ordered_at.zip(of.software.clone())?;
+  pub fn evidence(&mut self, of: &Endpoint, closed: bool) -> Option<Evidence> {
+    let (order_revision, software) = self.order_revision.zip(of.software.clone())?;
     self.sequence += 1;
     Some(Evidence {
       box_id: of.peer.box_id.clone(),
       closed,
       incarnation: of.incarnation,
-      ordered_at,
+      order_revision,
       sequence: self.sequence,
       service: of.service.clone(),
       software,
--- a/src/rollout/record.rs
+++ b/src/rollout/record.rs
@@ -14,7 +14,7 @@
   pub order: Order,
   /// The store's revision of the order, which distinguishes the orders of a service.
   #[serde(rename = "r")]
-  pub ordered_at: Revision,
+  pub order_revision: Revision,
   /// When the order was first known, in milliseconds since 1970, for boxes that start later.
   #[serde(rename = "u")]
   pub ordered_unix_ms: u64,
@@ -33,7 +33,7 @@
   /// halt, so that no concurrent step sends requests to a version that a box found bad; then the later step.
   pub fn is_newer_than(&self, other: &Self) -> bool {
     let rank = |record: &Self| {
-      (record.ordered_at, record.stage.is_final(), record.stage.is_undone(), record.step)
+      (record.order_revision, record.stage.is_final(), record.stage.is_undone(), record.step)
     };
     rank(self) > rank(other)
   }
@@ -47,6 +47,7 @@
   /// Whether this record belongs to the order with this revision. After the store is restored from a copy, the same
   /// order is written again with another revision.
   pub fn is_of(&self, order: &Order, revision: Revision) -> bool {
-    self.ordered_at == revision || (self.ordered_at.era < revision.era && self.order == *order)
+    self.order_revision == revision
+      || (self.order_revision.era < revision.era && self.order == *order)
   }
 }
--- a/src/rollout/judge.rs
+++ b/src/rollout/regression.rs
@@ -39,7 +39,7 @@
 /// Returns why the new version is bad, or `None` without evidence of that. Takes the tallies of each box of the
 /// version in force and of the new one. Durations are compared only over the same seconds, as a burst slows down any
 /// version.
-pub(super) fn judge(
+pub(super) fn find_regression(
   base: &[BTreeMap<RouteName, Tally>],
   target: &[BTreeMap<RouteName, Tally>],
   compares_times: bool,
@@ -76,7 +76,7 @@
   let now = Share { bad: new.failures, of: new.answers };
   now.exceeds(usual, FAILURES_MORE).then(|| {
     let (failures, answers, usual) = (new.failures, new.answers, usual.part());
-    format!("{failures} of {answers} answers failed, compared with a share of {usual:.3} before")
+    format!("{failures} of {answers} answers failed, against a share of {usual:.3} before")
   })
 }
 
@@ -94,7 +94,7 @@
   exceeds.then(|| {
     let (slow, timed, from_ms) = (now.bad, now.of, 1u64 << power);
     format!(
-      "{slow} of {timed} answers took {from_ms} ms or longer, compared with a share of {:.3} before",
+      "{slow} of {timed} answers took {from_ms} ms or longer, against a share of {:.3} before",
       usual.part()
     )
   })
--- a/src/rollout/rollout/mod.rs
+++ b/src/rollout/rollout/mod.rs
@@ -12,17 +12,17 @@
 /// ends. A halt doesn't need the store: it spreads over the links at once and takes precedence over every step.
 #[derive(Clone, Debug)]
 pub struct Rollout {
-  /// The decider's last heartbeat counter for the record.
-  beat: u64,
-  beat_at: Time,
+  /// What blocked the next step at the last check, if this box is the decider.
+  blocked_by: Option<&'static str>,
   call: Option<PendingCall>,
   /// When the last update came from the decider or the store.
-  decider_heard_at: Time,
-  evidence: EvidenceBook,
-  /// What blocked the next step at the last check, if this box is the decider.
-  held_up_by: Option<&'static str>,
+  decider_seen_at: Time,
+  evidence: EvidenceHistory,
+  /// The decider's last heartbeat counter for the record.
+  heartbeat: u64,
+  heartbeat_at: Time,
   /// Whether the store's record must be checked because the store was restored from a copy.
-  is_to_check: bool,
+  must_check_store: bool,
   /// The newest order that has no record yet, with its revision.
   order: Option<(Order, Revision)>,
   /// When the order was first known.
@@ -37,19 +37,19 @@
 
 impl Rollout {
   /// Milliseconds between heartbeats of the decider.
-  const BEAT_MS: u64 = 400;
+  const HEARTBEAT_INTERVAL_MS: u64 = 400;
   /// Milliseconds without a heartbeat, about three intervals, after which the next box takes over.
-  const SILENCE_MS: u64 = 1_300;
+  const DECIDER_TIMEOUT_MS: u64 = 1_300;
   /// Milliseconds that each box waits longer than the box ranked before it.
-  const TURN_MS: u64 = 500;
+  const RANK_DELAY_MS: u64 = 500;
   /// Milliseconds before a failed store call is retried.
   const RETRY_MS: u64 = 200;
   /// Milliseconds for which a box's evidence is current. Covers several reports and a change of the box's links.
-  const EVIDENCE_MS: u64 = 1_200;
+  const EVIDENCE_MAX_AGE_MS: u64 = 1_200;
   /// Milliseconds after which a box of the old version without evidence counts as partitioned or dead.
   const SILENT_BOX_MS: u64 = 3_000;
   /// The least milliseconds that a canary step lasts, so that answers from it arrive.
-  const RUNG_MIN_MS: u64 = 600;
+  const STEP_MIN_MS: u64 = 600;
   /// The windows in milliseconds over which versions are compared; `None` is the whole rollout. A version that has
   /// just turned bad doesn't stand out among many earlier answers, so short windows are checked too.
   const WINDOWS_MS: [Option<u64>; 3] = [Some(1_000), Some(2_500), None];
@@ -58,18 +58,18 @@
   /// The fraction of the old version's slots that the new one needs before it gets most requests.
   const SLOTS_MOST: f64 = 0.75;
   /// The fraction of the exposure limit that the new version may have received before its share grows.
-  const EXPOSED_PART: f64 = 0.6;
+  const EXPOSURE_MAX_FRACTION: f64 = 0.6;
 
   /// A rollout of which nothing is known yet.
   pub fn new(now: Time, service: ServiceName) -> Self {
     Self {
-      beat: 0,
-      beat_at: now,
+      heartbeat: 0,
+      heartbeat_at: now,
       call: None,
-      decider_heard_at: now,
-      evidence: EvidenceBook::default(),
-      held_up_by: None,
-      is_to_check: false,
+      decider_seen_at: now,
+      evidence: EvidenceHistory::default(),
+      blocked_by: None,
+      must_check_store: false,
       order: None,
       ordered_at: now,
       record: None,
@@ -91,12 +91,12 @@
   }
 
   /// What blocks the next step, if this box is the decider.
-  pub fn held_up_by(&self) -> Option<&'static str> {
-    self.held_up_by
+  pub fn blocked_by(&self) -> Option<&'static str> {
+    self.blocked_by
   }
 
   /// The tallies of a version since the order, by route, as far as this box has received them.
-  pub fn seen(&self, now: Time, software: &SoftwareVersion) -> BTreeMap<RouteName, Tally> {
+  pub fn tallies(&self, now: Time, software: &SoftwareVersion) -> BTreeMap<RouteName, Tally> {
     let mut seen: BTreeMap<RouteName, Tally> = BTreeMap::new();
     for (route, tally) in self.evidence.tallies(now, software, None).into_iter().flatten() {
       *seen.entry(route).or_default() += tally;
@@ -105,7 +105,7 @@
   }
 
   /// Handles an operator's order read from the store.
-  pub(super) fn ordered(&mut self, now: Time, order: &Order, revision: Revision) {
+  pub(super) fn order_found(&mut self, now: Time, order: &Order, revision: Revision) {
     let is_known = self.order.as_ref().is_some_and(|(_, known)| *known >= revision)
       || self.record.as_ref().is_some_and(|record| record.is_of(order, revision));
     if is_known {
@@ -113,20 +113,20 @@
     }
     self.order = Some((order.clone(), revision));
     self.ordered_at = now;
-    self.decider_heard_at = now;
+    self.decider_seen_at = now;
   }
 
   /// Handles the removal of the order from the store by halting its rollout.
-  pub(super) fn withdrawn(&mut self, now: Time) -> Vec<RolloutAction> {
+  pub(super) fn order_withdrawn(&mut self, now: Time) -> Vec<RolloutAction> {
     self.order = None;
     match self.open_record().cloned() {
-      Some(record) => self.halt(now, &record, "the operator withdrew the order".into()),
+      Some(record) => self.halt(now, &record, "the order was withdrawn".into()),
       None => Vec::new(),
     }
   }
 
   /// Handles a record read from the store; `None` if the entry could not be decoded.
-  pub(super) fn found(
+  pub(super) fn record_found(
     &mut self,
     now: Time,
     unix_ms: u64,
@@ -145,19 +145,23 @@
   }
 
   /// Handles a status update from another box. Returns whether it is new.
-  pub(super) fn heard(&mut self, now: Time, word: &Word) -> (bool, Vec<RolloutAction>) {
-    let is_same = self.record.as_ref() == Some(&word.record);
-    if is_same && word.beat > self.beat {
-      self.beat = word.beat;
-      self.decider_heard_at = now;
+  pub(super) fn update_received(
+    &mut self,
+    now: Time,
+    update: &RolloutUpdate,
+  ) -> (bool, Vec<RolloutAction>) {
+    let is_same = self.record.as_ref() == Some(&update.record);
+    if is_same && update.heartbeat > self.heartbeat {
+      self.heartbeat = update.heartbeat;
+      self.decider_seen_at = now;
       return (true, Vec::new());
     }
     let known = self.record.as_ref();
-    let is_new = known.is_none_or(|known| word.record.is_newer_than(known));
+    let is_new = known.is_none_or(|known| update.record.is_newer_than(known));
     if is_new {
-      self.beat = word.beat;
+      self.heartbeat = update.heartbeat;
     }
-    (is_new, self.adopt(now, word.age_ms, word.record.clone()))
+    (is_new, self.adopt(now, update.age_ms, update.record.clone()))
   }
 
   /// Adopts a record if it is newer, and sends it to the neighbours.
@@ -169,16 +173,16 @@
     if is_another || self.order.is_none() {
       self.ordered_at = self.ordered_at.min(Time(now.0.saturating_sub(age_ms)));
     }
-    if self.record.as_ref().is_none_or(|known| known.ordered_at != record.ordered_at) {
-      self.evidence = EvidenceBook::default();
+    if self.record.as_ref().is_none_or(|known| known.order_revision != record.order_revision) {
+      self.evidence = EvidenceHistory::default();
       self.ordered_at = Time(now.0.saturating_sub(age_ms));
     }
     let is_done = |(order, revision): &(Order, Revision)| {
-      record.is_of(order, *revision) || record.ordered_at > *revision
+      record.is_of(order, *revision) || record.order_revision > *revision
     };
     self.order.take_if(|order| is_done(order));
-    self.decider_heard_at = now;
-    self.held_up_by = None;
+    self.decider_seen_at = now;
+    self.blocked_by = None;
     self.stage_since = now;
     let text = format!(
       "rollout of {} to {}, step {} by {}, {} ms after its order: {}",
@@ -190,23 +194,24 @@
       record.stage
     );
     self.record = Some(record);
-    vec![RolloutAction::Log(text), RolloutAction::Changed, self.spread(now)]
+    vec![RolloutAction::Log(text), RolloutAction::TrafficChanged, self.broadcast(now)]
   }
 
   /// Returns the update to send to neighbours.
-  pub(super) fn word(&self, now: Time) -> Option<Word> {
+  pub(super) fn update(&self, now: Time) -> Option<RolloutUpdate> {
     let record = self.record.clone()?;
-    Some(Word { age_ms: now.since_ms(self.ordered_at), beat: self.beat, record })
+    Some(RolloutUpdate { age_ms: now.since_ms(self.ordered_at), heartbeat: self.heartbeat, record })
   }
 
-  fn spread(&self, now: Time) -> RolloutAction {
-    RolloutAction::Spread(self.word(now).expect("there is a record"))
+  fn broadcast(&self, now: Time) -> RolloutAction {
+    RolloutAction::Broadcast(self.update(now).expect("there is a record"))
   }
 
   /// Handles the answer counts of a backend server. Returns whether they are new.
-  pub(super) fn observed(&mut self, now: Time, evidence: &Evidence) -> bool {
-    let is_of = self.open_record().is_some_and(|record| record.ordered_at == evidence.ordered_at);
-    is_of && self.evidence.hear(now, evidence)
+  pub(super) fn evidence_received(&mut self, now: Time, evidence: &Evidence) -> bool {
+    let is_of =
+      self.open_record().is_some_and(|record| record.order_revision == evidence.order_revision);
+    is_of && self.evidence.record_evidence(now, evidence)
   }
 
   /// The record, if the rollout is in progress.
@@ -215,14 +220,14 @@
   }
 
   /// Whether the rollout needs work.
-  pub(super) fn is_at_work(&self) -> bool {
-    self.open_record().is_some() || self.order.is_some() || self.is_to_check
+  pub(super) fn is_active(&self) -> bool {
+    self.open_record().is_some() || self.order.is_some() || self.must_check_store
   }
 
   /// Handles the restoration of the store from a copy: its contents must be read again.
-  pub(super) fn store_went_back(&mut self) {
+  pub(super) fn store_restored(&mut self) {
     self.call = None;
-    self.is_to_check = self.record.is_some();
+    self.must_check_store = self.record.is_some();
     self.stored = Stored::Unknown;
   }
 
@@ -240,10 +245,10 @@
     let Some(rank) = view.rank.filter(|_| self.call.is_none() && now >= self.retry_at) else {
       return actions;
     };
-    let is_turn = |since: Time| now.since_ms(since) >= rank * Self::TURN_MS;
+    let is_turn = |since: Time| now.since_ms(since) >= rank * Self::RANK_DELAY_MS;
     if let Some((order, revision)) = self.order.clone().filter(|_| is_turn(self.ordered_at)) {
       actions.extend(self.begin(view, in_force, order, revision));
-    } else if self.is_to_check && is_turn(self.decider_heard_at) {
+    } else if self.must_check_store && is_turn(self.decider_seen_at) {
       actions.extend(self.restore());
     }
     actions
@@ -251,18 +256,18 @@
 
   fn tick_open(&mut self, view: &FleetView, record: &Record) -> Vec<RolloutAction> {
     let now = view.now;
-    if let Some(reason) = self.why_bad(now, record).filter(|_| view.hears_all) {
+    if let Some(reason) = self.find_fault(now, record).filter(|_| view.receives_all_evidence) {
       // Any box may halt: halting a good version costs less than waiting for the decider.
       return self.halt(now, record, reason);
     }
     // A decider that can't write to the store sends no heartbeats, so that another box takes over.
     let is_own = record.decider == *view.own_box && view.rank.is_some();
     let mut actions = Vec::new();
-    if is_own && now.since_ms(self.beat_at) >= Self::BEAT_MS {
-      self.beat += 1;
-      self.beat_at = now;
-      self.decider_heard_at = now;
-      actions.push(self.spread(now));
+    if is_own && now.since_ms(self.heartbeat_at) >= Self::HEARTBEAT_INTERVAL_MS {
+      self.heartbeat += 1;
+      self.heartbeat_at = now;
+      self.decider_seen_at = now;
+      actions.push(self.broadcast(now));
     }
     if self.call.is_some() || now < self.retry_at {
       return actions;
@@ -270,10 +275,10 @@
     if is_own {
       match self.next_stage(view, record) {
         Ok(stage) => actions.extend(self.propose(record.next(stage))),
-        Err(reason) => actions.extend(self.note_held_up(now, reason)),
+        Err(reason) => actions.extend(self.log_blocked(now, reason)),
       }
     } else if let Some(rank) = view.rank
-      && now.since_ms(self.decider_heard_at) >= Self::SILENCE_MS + rank * Self::TURN_MS
+      && now.since_ms(self.decider_seen_at) >= Self::DECIDER_TIMEOUT_MS + rank * Self::RANK_DELAY_MS
     {
       actions.push(RolloutAction::Log(format!(
         "rollout of {}: no heartbeat from decider {}, this box takes over",
@@ -286,8 +291,8 @@
   }
 
   /// Logs what blocks the next step if the reason has changed.
-  fn note_held_up(&mut self, now: Time, reason: &'static str) -> Option<RolloutAction> {
-    if self.held_up_by.replace(reason) == Some(reason) {
+  fn log_blocked(&mut self, now: Time, reason: &'static str) -> Option<RolloutAction> {
+    if self.blocked_by.replace(reason) == Some(reason) {
       return None;
     }
     let (service, age_ms) = (&self.service, self.age_ms(now));
--- a/src/rollout/rollout/storing.rs
+++ b/src/rollout/rollout/storing.rs
@@ -10,14 +10,14 @@
     order: Order,
     revision: Revision,
   ) -> Option<RolloutAction> {
-    let base = in_force.cloned().or_else(|| view.usual_version(Some(&order.target)));
+    let base = in_force.cloned().or_else(|| view.most_common_version(Some(&order.target)));
     let age_ms = view.now.since_ms(self.ordered_at);
     let is_in_force = base.as_ref() == Some(&order.target);
     self.propose(Record {
       base,
       decider: view.own_box.clone(),
       order,
-      ordered_at: revision,
+      order_revision: revision,
       ordered_unix_ms: view.unix_ms.saturating_sub(age_ms),
       stage: if is_in_force { Stage::Completed } else { Stage::Waiting },
       step: 1,
@@ -31,7 +31,7 @@
       stored.as_ref().is_some_and(|stored| *stored == held || stored.is_newer_than(&held))
     };
     if matches!(&self.stored, Stored::Present(stored, _) if is_held(stored)) {
-      self.is_to_check = false;
+      self.must_check_store = false;
       return None;
     }
     self.propose(held)
@@ -77,7 +77,7 @@
         self.adopt(now, age_ms, record)
       }
       (PendingCall::Read, Ok(Reply::Entry { entry: Some(entry), .. })) => {
-        self.found(now, unix_ms, read_record(&self.service, entry).ok(), entry.revision)
+        self.record_found(now, unix_ms, read_record(&self.service, entry).ok(), entry.revision)
       }
       (PendingCall::Read, Ok(Reply::Entry { entry: None, .. })) => {
         self.stored = Stored::Absent;
--- a/src/rollout/rollout_action.rs
+++ b/src/rollout/rollout_action.rs
@@ -3,6 +3,8 @@
 /// An action that [`Rollouts`] asks its owner to carry out.
 #[derive(Clone, Debug)]
 pub enum RolloutAction {
+  /// Send the status of a rollout to all neighbours.
+  Broadcast(RolloutUpdate),
   /// Call the store and pass the answer to [`Rollouts::store_answered`].
   Call {
     /// The request.
@@ -10,10 +12,8 @@
     /// The service whose rollout needs the call.
     service: ServiceName,
   },
-  /// Apply the new traffic rules: they have changed.
-  Changed,
   /// Write a line to the log.
   Log(String),
-  /// Send the status of a rollout to all neighbours.
-  Spread(Word),
+  /// Apply the new traffic rules: they have changed.
+  TrafficChanged,
 }
--- a/src/rollout/rollouts.rs
+++ b/src/rollout/rollouts.rs
@@ -5,26 +5,26 @@
 /// The rollouts of all services as known to this box, and the version in force of each service.
 #[derive(Clone, Debug, Default)]
 pub struct Rollouts {
-  /// The version assumed to be in force where no rollout determines it.
-  bases: BTreeMap<ServiceName, SoftwareVersion>,
   by_service: BTreeMap<ServiceName, Rollout>,
   /// The order revision of the last finished rollout applied to the versions in force.
   ended: BTreeMap<ServiceName, Revision>,
+  /// The version assumed to be in force where no rollout determines it.
+  versions_in_force: BTreeMap<ServiceName, SoftwareVersion>,
 }
 
 impl Rollouts {
   /// Handles an operator's order read from the store.
-  pub fn ordered(&mut self, now: Time, order: &Order, revision: Revision) {
-    self.of(now, &order.service).ordered(now, order, revision);
+  pub fn order_found(&mut self, now: Time, order: &Order, revision: Revision) {
+    self.of(now, &order.service).order_found(now, order, revision);
   }
 
   /// Handles the removal of an operator's order from the store.
-  pub fn withdrawn(&mut self, now: Time, service: &ServiceName) -> Vec<RolloutAction> {
-    self.by_service.get_mut(service).map_or_else(Vec::new, |rollout| rollout.withdrawn(now))
+  pub fn order_withdrawn(&mut self, now: Time, service: &ServiceName) -> Vec<RolloutAction> {
+    self.by_service.get_mut(service).map_or_else(Vec::new, |rollout| rollout.order_withdrawn(now))
   }
 
   /// Handles a store entry that may hold a rollout record.
-  pub fn found(
+  pub fn record_found(
     &mut self,
     now: Time,
     unix_ms: u64,
@@ -39,28 +39,32 @@
       ))
     });
     let rollout = self.of(now, service);
-    let found = rollout.found(now, unix_ms, read.ok(), entry.revision);
+    let actions = rollout.record_found(now, unix_ms, read.ok(), entry.revision);
     self.note_end(service);
-    reason.into_iter().chain(found).collect()
+    reason.into_iter().chain(actions).collect()
   }
 
   /// Handles a status update from another box. Returns whether it is new and must be forwarded.
-  pub fn heard(&mut self, now: Time, word: &Word) -> (bool, Vec<RolloutAction>) {
-    let service = &word.record.order.service;
-    let heard = self.of(now, service).heard(now, word);
+  pub fn update_received(
+    &mut self,
+    now: Time,
+    update: &RolloutUpdate,
+  ) -> (bool, Vec<RolloutAction>) {
+    let service = &update.record.order.service;
+    let result = self.of(now, service).update_received(now, update);
     self.note_end(service);
-    heard
+    result
   }
 
   /// Handles the answer counts of a backend server, sent by its daemon. Returns whether they are new.
-  pub fn observed(&mut self, now: Time, evidence: &Evidence) -> bool {
+  pub fn evidence_received(&mut self, now: Time, evidence: &Evidence) -> bool {
     let rollout = self.by_service.get_mut(&evidence.service);
-    rollout.is_some_and(|rollout| rollout.observed(now, evidence))
+    rollout.is_some_and(|rollout| rollout.evidence_received(now, evidence))
   }
 
   /// Handles the restoration of the store from a copy.
-  pub fn store_went_back(&mut self) {
-    self.by_service.values_mut().for_each(Rollout::store_went_back);
+  pub fn store_restored(&mut self) {
+    self.by_service.values_mut().for_each(Rollout::store_restored);
   }
 
   /// Handles the store's answer to a call for a service's rollout.
@@ -77,14 +81,14 @@
   }
 
   /// Returns the services whose rollouts need work.
-  pub fn services_at_work(&self) -> Vec<ServiceName> {
-    let at_work = self.by_service.iter().filter(|(_, rollout)| rollout.is_at_work());
-    at_work.map(|(service, _)| service.clone()).collect()
+  pub fn active_services(&self) -> Vec<ServiceName> {
+    let active = self.by_service.iter().filter(|(_, rollout)| rollout.is_active());
+    active.map(|(service, _)| service.clone()).collect()
   }
 
   /// Advances the rollout of one service to the time of `view`.
   pub fn tick(&mut self, service: &ServiceName, view: &FleetView) -> Vec<RolloutAction> {
-    let base = self.bases.get(service);
+    let base = self.versions_in_force.get(service);
     self.by_service.get_mut(service).map_or_else(Vec::new, |rollout| rollout.tick(view, base))
   }
 
@@ -93,7 +97,7 @@
     let Some(record) = self.by_service.get(service).and_then(Rollout::record) else {
       return;
     };
-    let is_known = self.ended.get(service) == Some(&record.ordered_at);
+    let is_known = self.ended.get(service) == Some(&record.order_revision);
     if is_known || !record.stage.is_final() {
       return;
     }
@@ -102,9 +106,9 @@
       _ => record.base.clone(),
     };
     if let Some(in_force) = in_force {
-      self.bases.insert(service.clone(), in_force);
+      self.versions_in_force.insert(service.clone(), in_force);
     }
-    self.ended.insert(service.clone(), record.ordered_at);
+    self.ended.insert(service.clone(), record.order_revision);
   }
 
   /// Whether a rollout of the service is in progress.
@@ -118,8 +122,8 @@
   }
 
   /// Returns the updates to send to a new neighbour.
-  pub fn words(&self, now: Time) -> Vec<Word> {
-    self.by_service.values().filter_map(|rollout| rollout.word(now)).collect()
+  pub fn updates(&self, now: Time) -> Vec<RolloutUpdate> {
+    self.by_service.values().filter_map(|rollout| rollout.update(now)).collect()
   }
 
   /// Handles a change of the boxes of a service. Where no rollout determines the version in force, the version seen
@@ -127,26 +131,29 @@
   pub fn note_endpoints(&mut self, service: &ServiceName, view: &FleetView) {
     let record = self.by_service.get(service).and_then(Rollout::record);
     let undone = record.filter(|record| record.stage.is_undone()).map(|one| &one.order.target);
-    let is_known = self.bases.get(service).is_some_and(|base| !view.of_version(base).is_empty());
+    let is_known =
+      self.versions_in_force.get(service).is_some_and(|base| !view.of_version(base).is_empty());
     if is_known {
       return;
     }
-    if let Some(usual) = view.usual_version(undone) {
-      self.bases.insert(service.clone(), usual);
+    if let Some(usual) = view.most_common_version(undone) {
+      self.versions_in_force.insert(service.clone(), usual);
     }
   }
 
   /// Returns the traffic rules of all known services.
   pub fn traffic(&self) -> BTreeMap<ServiceName, Traffic> {
-    let seen =
-      self.bases.iter().map(|(service, base)| (service.clone(), Traffic::in_force(base.clone())));
+    let seen = self
+      .versions_in_force
+      .iter()
+      .map(|(service, base)| (service.clone(), Traffic::in_force(base.clone())));
     let mut traffic: BTreeMap<ServiceName, Traffic> = seen.collect();
     for (service, rollout) in &self.by_service {
       if let Some(record) = rollout.record() {
         let mut rule = Traffic::of(record);
         // Backend servers may have been replaced since, without a rollout: their version is in force.
         if record.stage.is_final() {
-          rule.base = self.bases.get(service).cloned().or(rule.base);
+          rule.base = self.versions_in_force.get(service).cloned().or(rule.base);
         }
         traffic.insert(service.clone(), rule);
       }
--- a/src/rollout/traffic.rs
+++ b/src/rollout/traffic.rs
@@ -10,14 +10,14 @@
   /// The new version's share, in requests per thousand.
   pub permille: u32,
   /// The store's revision of the order in progress, if any.
-  pub ordered_at: Option<Revision>,
+  pub order_revision: Option<Revision>,
   /// The new version, which is not in force and gets only its share.
   pub target: Option<SoftwareVersion>,
 }
 
 impl Traffic {
   /// The share that stands for all requests, in requests per thousand.
-  pub const WHOLE: u32 = 1_000;
+  pub const PERMILLE_ALL: u32 = 1_000;
 
   /// The traffic rule that follows from a rollout record.
   pub fn of(record: &Record) -> Self {
@@ -31,7 +31,7 @@
           _ => BTreeSet::new(),
         },
         permille: stage.permille(),
-        ordered_at: (!stage.is_final()).then_some(record.ordered_at),
+        order_revision: (!stage.is_final()).then_some(record.order_revision),
         target: Some(target),
       },
     }
@@ -57,12 +57,12 @@
   }
 
   /// The lane of requests outside the new version's share: `Target` only once all requests go there.
-  pub fn main_lane(&self) -> Lane {
-    if self.permille == Self::WHOLE { Lane::Target } else { Lane::InForce }
+  pub fn default_lane(&self) -> Lane {
+    if self.permille == Self::PERMILLE_ALL { Lane::Target } else { Lane::InForce }
   }
 
   /// Returns why a backend server of this version may not run requests, or `None` if it may.
-  pub fn why_out_of_force(&self, software: Option<&SoftwareVersion>) -> Option<&'static str> {
+  pub fn rejection_reason(&self, software: Option<&SoftwareVersion>) -> Option<&'static str> {
     let Some(software) = software else {
       return self.target.as_ref().map(|_| "the version of the backend server is not known yet");
     };
@@ -75,6 +75,7 @@
 
   /// Whether a version is being replaced: all requests go to another one.
   pub fn is_leaving(&self, software: &SoftwareVersion) -> bool {
-    self.permille == Self::WHOLE && self.target.as_ref().is_some_and(|target| target != software)
+    self.permille == Self::PERMILLE_ALL
+      && self.target.as_ref().is_some_and(|target| target != software)
   }
 }
--- a/src/rollout/traffic_table.rs
+++ b/src/rollout/traffic_table.rs
@@ -30,18 +30,18 @@
 
   /// Returns the lane of the next request for a service. Requests are assigned at even intervals. Each box starts at
   /// a random offset, so that many boxes with few requests each keep the share together.
-  pub fn deal(&mut self, service: &ServiceName, rng: &mut ChaCha8Rng) -> Lane {
+  pub fn next_lane(&mut self, service: &ServiceName, rng: &mut ChaCha8Rng) -> Lane {
     let permille = self.rules.get(service).map_or(0, |rule| rule.permille);
     if permille == 0 {
       return Lane::InForce;
     }
     let due =
-      self.due.entry(service.clone()).or_insert_with(|| rng.random_range(0..Traffic::WHOLE));
+      self.due.entry(service.clone()).or_insert_with(|| rng.random_range(0..Traffic::PERMILLE_ALL));
     *due += permille;
-    if *due < Traffic::WHOLE {
+    if *due < Traffic::PERMILLE_ALL {
       return Lane::InForce;
     }
-    *due -= Traffic::WHOLE;
+    *due -= Traffic::PERMILLE_ALL;
     Lane::Target
   }
 }
--- a/tests/backend_record.rs
+++ b/tests/backend_record.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use ferryyoke::{
-  fleet::{BackendRecord, BackendReport, BackendState, Heard, Process},
+  fleet::{BackendRecord, BackendReport, BackendState, Process, ReportOutcome},
   values::{Born, InstanceId, Time},
 };
 
@@ -17,8 +17,8 @@
   BackendReport { cold_left_ms: 0, leaving, process, sequence, service, slots: 12, software: None }
 }
 
-fn process(id: &str, born: Option<u64>) -> Process {
-  Process { born: born.map(Born), id: instance(id) }
+fn process(id: &str, started_at: Option<u64>) -> Process {
+  Process { started_at: started_at.map(Born), id: instance(id) }
 }
 
 fn instance(name: &str) -> InstanceId {
@@ -28,8 +28,8 @@
 /// The record of a process that the health endpoint named and that has reported since.
 fn known(name: &str, sequence: u64) -> BackendRecord {
   let mut record = BackendRecord::default();
-  record.probed(Time(0), &instance(name), None);
-  assert_eq!(record.reported(Time(0), &report(name, sequence, false)), Heard::News);
+  record.health_checked(Time(0), &instance(name), None);
+  assert_eq!(record.reported(Time(0), &report(name, sequence, false)), ReportOutcome::Accepted);
   record
 }
 
@@ -38,16 +38,16 @@
   assert_eq!(BackendRecord::default().state(), BackendState::Unknown);
   let mut record = known("i-1", 5);
   assert_eq!(record.state(), BackendState::Ready);
-  assert_eq!(record.reported(Time(1), &report("i-1", 7, true)), Heard::News);
+  assert_eq!(record.reported(Time(1), &report("i-1", 7, true)), ReportOutcome::Accepted);
   assert_eq!(
     record.reported(Time(2), &report("i-1", 6, false)),
-    Heard::Late,
+    ReportOutcome::Stale,
     "it was sent before the drain"
   );
   assert_eq!(record.state(), BackendState::Leaving);
-  assert_eq!(record.reported(Time(3), &report("i-1", 8, false)), Heard::News);
+  assert_eq!(record.reported(Time(3), &report("i-1", 8, false)), ReportOutcome::Accepted);
   assert_eq!(record.state(), BackendState::Leaving, "a leaving process is never ready again");
-  record.probed(Time(4), &instance("i-1"), None);
+  record.health_checked(Time(4), &instance("i-1"), None);
   assert_eq!(record.state(), BackendState::Leaving, "even if the health endpoint names it");
 }
 
@@ -56,13 +56,17 @@
   let mut record = known("i-1", 5);
   record.deregistered(&process("i-1", None));
   assert_eq!(record.state(), BackendState::Leaving);
-  assert_eq!(record.reported(Time(1), &report("i-1", 6, false)), Heard::Late);
-  assert_eq!(record.reported(Time(2), &report("i-2", 1, false)), Heard::News, "its successor");
-  record.probed(Time(2), &instance("i-2"), None);
+  assert_eq!(record.reported(Time(1), &report("i-1", 6, false)), ReportOutcome::Stale);
+  assert_eq!(
+    record.reported(Time(2), &report("i-2", 1, false)),
+    ReportOutcome::Accepted,
+    "its successor"
+  );
+  record.health_checked(Time(2), &instance("i-2"), None);
   assert_eq!(record.state(), BackendState::Ready);
   assert_eq!(
     record.reported(Time(3), &report("i-1", 9, false)),
-    Heard::Late,
+    ReportOutcome::Stale,
     "the previous process, late"
   );
   assert_eq!(record.process(), Some(&process("i-2", None)));
@@ -71,15 +75,15 @@
 #[test]
 fn a_new_daemon_trusts_the_health_endpoint_until_the_first_report() {
   let mut record = BackendRecord::default();
-  assert!(record.is_in_doubt());
-  record.probed(Time(0), &instance("i-1"), None);
+  assert!(record.needs_health_check());
+  record.health_checked(Time(0), &instance("i-1"), None);
   assert_eq!(record.state(), BackendState::Ready);
-  assert!(!record.is_in_doubt());
-  record.vanished();
+  assert!(!record.needs_health_check());
+  record.became_unreachable();
   assert_eq!(record.state(), BackendState::Unknown);
-  assert_eq!(record.reported(Time(0), &report("i-1", 3, false)), Heard::News);
+  assert_eq!(record.reported(Time(0), &report("i-1", 3, false)), ReportOutcome::Accepted);
   assert_eq!(record.state(), BackendState::Ready);
-  record.probed(Time(0), &instance("i-9"), None);
+  record.health_checked(Time(0), &instance("i-9"), None);
   assert_eq!(record.process(), Some(&process("i-1", None)));
 }
 
@@ -87,21 +91,21 @@
 #[test]
 fn one_report_does_not_confirm_a_process_to_a_new_daemon() {
   let mut record = BackendRecord::default();
-  assert_eq!(record.reported(Time(0), &report("i-1", 5, false)), Heard::News);
+  assert_eq!(record.reported(Time(0), &report("i-1", 5, false)), ReportOutcome::Accepted);
   assert_eq!(record.state(), BackendState::Unknown, "it may have been sent before a drain");
-  assert_eq!(record.reported(Time(1), &report("i-1", 4, false)), Heard::Late);
-  assert_eq!(record.reported(Time(500), &report("i-1", 6, false)), Heard::News);
+  assert_eq!(record.reported(Time(1), &report("i-1", 4, false)), ReportOutcome::Stale);
+  assert_eq!(record.reported(Time(500), &report("i-1", 6, false)), ReportOutcome::Accepted);
   assert_eq!(record.state(), BackendState::Unknown);
-  assert_eq!(record.reported(Time(1_000), &report("i-1", 7, false)), Heard::News);
+  assert_eq!(record.reported(Time(1_000), &report("i-1", 7, false)), ReportOutcome::Accepted);
   assert_eq!(record.state(), BackendState::Ready, "late reports come one or two at a time");
 }
 
 #[test]
 fn a_new_daemon_accepts_at_once_that_a_process_leaves() {
   let mut record = BackendRecord::default();
-  assert_eq!(record.reported(Time(0), &report("i-1", 5, true)), Heard::News);
+  assert_eq!(record.reported(Time(0), &report("i-1", 5, true)), ReportOutcome::Accepted);
   assert_eq!(record.state(), BackendState::Leaving);
-  assert_eq!(record.reported(Time(1), &report("i-1", 4, false)), Heard::Late);
+  assert_eq!(record.reported(Time(1), &report("i-1", 4, false)), ReportOutcome::Stale);
   assert_eq!(record.state(), BackendState::Leaving);
 }
 
@@ -110,18 +114,18 @@
   let mut record = known("i-2", 1);
   assert_eq!(
     record.reported(Time(1), &report("i-1", 90, false)),
-    Heard::News,
+    ReportOutcome::Accepted,
     "from before this incarnation"
   );
   assert_eq!(
     (record.process(), record.state()),
     (Some(&process("i-2", None)), BackendState::Ready)
   );
-  assert!(record.is_in_doubt());
-  record.probed(Time(2), &instance("i-2"), None);
-  assert!(!record.is_in_doubt(), "no further probes");
-  assert_eq!(record.reported(Time(3), &report("i-2", 2, false)), Heard::News);
-  assert_eq!(record.reported(Time(4), &report("i-1", 91, true)), Heard::News);
+  assert!(record.needs_health_check());
+  record.health_checked(Time(2), &instance("i-2"), None);
+  assert!(!record.needs_health_check(), "no further health checks");
+  assert_eq!(record.reported(Time(3), &report("i-2", 2, false)), ReportOutcome::Accepted);
+  assert_eq!(record.reported(Time(4), &report("i-1", 91, true)), ReportOutcome::Accepted);
   assert_eq!(
     (record.process(), record.state()),
     (Some(&process("i-2", None)), BackendState::Ready)
@@ -131,41 +135,45 @@
 #[test]
 fn a_successor_takes_over_once_the_health_endpoint_names_it() {
   let mut record = known("i-1", 5);
-  assert_eq!(record.reported(Time(1), &report("i-2", 1, false)), Heard::News);
+  assert_eq!(record.reported(Time(1), &report("i-2", 1, false)), ReportOutcome::Accepted);
   assert_eq!(record.process(), Some(&process("i-1", None)));
-  record.probed(Time(2), &instance("i-2"), None);
+  record.health_checked(Time(2), &instance("i-2"), None);
   assert_eq!(
     (record.process(), record.state()),
     (Some(&process("i-2", None)), BackendState::Ready)
   );
-  assert_eq!(record.reported(Time(3), &report("i-1", 6, false)), Heard::Late, "the former one");
+  assert_eq!(
+    record.reported(Time(3), &report("i-1", 6, false)),
+    ReportOutcome::Stale,
+    "the former one"
+  );
 }
 
 /// The record of a process that reports its start time.
-fn known_born(id: &str, born: u64, sequence: u64) -> BackendRecord {
+fn known_started(id: &str, started_at: u64, sequence: u64) -> BackendRecord {
   let mut record = BackendRecord::default();
-  record.probed(Time(0), &instance(id), None);
-  let report = report_of(process(id, Some(born)), sequence, false);
-  assert_eq!(record.reported(Time(0), &report), Heard::News);
+  record.health_checked(Time(0), &instance(id), None);
+  let report = report_of(process(id, Some(started_at)), sequence, false);
+  assert_eq!(record.reported(Time(0), &report), ReportOutcome::Accepted);
   record
 }
 
-fn born(id: &str, born: u64, sequence: u64, leaving: bool) -> BackendReport {
-  report_of(process(id, Some(born)), sequence, leaving)
+fn started(id: &str, started_at: u64, sequence: u64, leaving: bool) -> BackendReport {
+  report_of(process(id, Some(started_at)), sequence, leaving)
 }
 
 #[test]
 fn a_process_restarted_under_the_same_id_starts_a_new_sequence() {
-  let mut record = known_born("i-1", 100, 40);
-  record.vanished();
-  let again = BackendReport { slots: 3, ..born("i-1", 200, 1, false) };
-  assert_eq!(record.reported(Time(10), &again), Heard::News);
-  assert!(record.is_in_doubt());
-  record.probed(Time(20), &instance("i-1"), None);
+  let mut record = known_started("i-1", 100, 40);
+  record.became_unreachable();
+  let again = BackendReport { slots: 3, ..started("i-1", 200, 1, false) };
+  assert_eq!(record.reported(Time(10), &again), ReportOutcome::Accepted);
+  assert!(record.needs_health_check());
+  record.health_checked(Time(20), &instance("i-1"), None);
   assert_eq!((record.state(), record.slots()), (BackendState::Ready, Some(3)));
   assert_eq!(record.process(), Some(&process("i-1", Some(200))));
   assert_eq!(record.starts(), 1);
-  assert_eq!(record.reported(Time(30), &born("i-1", 200, 2, true)), Heard::News);
+  assert_eq!(record.reported(Time(30), &started("i-1", 200, 2, true)), ReportOutcome::Accepted);
   assert_eq!(
     record.state(),
     BackendState::Leaving,
@@ -176,16 +184,19 @@
 #[test]
 fn a_process_restarted_after_the_previous_one_left_is_accepted() {
   for has_start_time in [true, false] {
-    let mut record = known_born("i-1", 100, 40);
-    assert_eq!(record.reported(Time(1), &born("i-1", 100, 41, true)), Heard::News);
+    let mut record = known_started("i-1", 100, 40);
+    assert_eq!(record.reported(Time(1), &started("i-1", 100, 41, true)), ReportOutcome::Accepted);
     record.deregistered(&process("i-1", has_start_time.then_some(100)));
-    record.probed(Time(5), &instance("i-1"), None);
+    record.health_checked(Time(5), &instance("i-1"), None);
     assert_eq!(record.state(), BackendState::Leaving);
-    assert_eq!(record.reported(Time(10), &born("i-1", 200, 1, false)), Heard::News);
-    record.probed(Time(20), &instance("i-1"), None);
+    assert_eq!(record.reported(Time(10), &started("i-1", 200, 1, false)), ReportOutcome::Accepted);
+    record.health_checked(Time(20), &instance("i-1"), None);
     assert_eq!(record.state(), BackendState::Ready);
     for sequence in [42, 500] {
-      assert_eq!(record.reported(Time(30), &born("i-1", 100, sequence, true)), Heard::Late);
+      assert_eq!(
+        record.reported(Time(30), &started("i-1", 100, sequence, true)),
+        ReportOutcome::Stale
+      );
     }
     record.deregistered(&process("i-1", Some(100)));
     assert_eq!(
@@ -199,47 +210,53 @@
 /// A leaving report is accepted even if it is the first report of its process.
 #[test]
 fn a_leaving_report_of_a_restarted_process_is_accepted_at_once() {
-  let mut record = known_born("i-1", 100, 40);
-  assert_eq!(record.reported(Time(1), &born("i-1", 200, 7, true)), Heard::News);
+  let mut record = known_started("i-1", 100, 40);
+  assert_eq!(record.reported(Time(1), &started("i-1", 200, 7, true)), ReportOutcome::Accepted);
   assert_eq!(record.state(), BackendState::Leaving);
-  record.probed(Time(2), &instance("i-1"), None);
+  record.health_checked(Time(2), &instance("i-1"), None);
   assert_eq!(record.state(), BackendState::Leaving);
 }
 
 #[test]
 fn a_report_without_a_start_time_counts_only_if_no_process_reports_one() {
-  let mut record = known_born("i-1", 100, 4);
+  let mut record = known_started("i-1", 100, 4);
   for leaving in [false, true] {
-    assert!(matches!(record.reported(Time(1), &report("i-1", 90, leaving)), Heard::Foreign(_)));
-    assert!(matches!(record.reported(Time(1), &report("i-2", 90, leaving)), Heard::Foreign(_)));
+    assert!(matches!(
+      record.reported(Time(1), &report("i-1", 90, leaving)),
+      ReportOutcome::Rejected(_)
+    ));
+    assert!(matches!(
+      record.reported(Time(1), &report("i-2", 90, leaving)),
+      ReportOutcome::Rejected(_)
+    ));
   }
   assert_eq!(record.state(), BackendState::Ready);
-  assert_eq!(record.reported(Time(2), &born("i-1", 100, 5, false)), Heard::News);
+  assert_eq!(record.reported(Time(2), &started("i-1", 100, 5, false)), ReportOutcome::Accepted);
 }
 
 #[test]
 fn a_process_does_not_change_its_service() {
-  let mut record = known_born("i-1", 100, 4);
+  let mut record = known_started("i-1", 100, 4);
   let elsewhere =
-    BackendReport { service: "registry".parse().expect("a name"), ..born("i-1", 100, 5, true) };
-  assert!(matches!(record.reported(Time(1), &elsewhere), Heard::Foreign(_)));
+    BackendReport { service: "registry".parse().expect("a name"), ..started("i-1", 100, 5, true) };
+  assert!(matches!(record.reported(Time(1), &elsewhere), ReportOutcome::Rejected(_)));
   assert_eq!(record.state(), BackendState::Ready);
 }
 
 /// Delayed or forged reports arrive in a burst.
 #[test]
 fn a_burst_of_reports_does_not_displace_the_running_process() {
-  let mut record = known_born("i-1", 100, 4);
+  let mut record = known_started("i-1", 100, 4);
   for sequence in 1..50 {
-    record.reported(Time(sequence), &born("i-foreign", 150, sequence, false));
+    record.reported(Time(sequence), &started("i-foreign", 150, sequence, false));
   }
   assert_eq!(record.process(), Some(&process("i-1", Some(100))));
   // Nor do steady reports of another process while the running one reports.
   for second in 1..50 {
     let now = Time(second * 1_000);
-    record.reported(now, &born("i-foreign", 150, 100 + second, false));
-    record.reported(now, &born("i-1", 100, 4 + second, false));
-    record.reported(now, &born("i-foreign", 150, 1_000 + second, false));
+    record.reported(now, &started("i-foreign", 150, 100 + second, false));
+    record.reported(now, &started("i-1", 100, 4 + second, false));
+    record.reported(now, &started("i-foreign", 150, 1_000 + second, false));
   }
   assert_eq!(record.process(), Some(&process("i-1", Some(100))));
 }
@@ -247,13 +264,13 @@
 /// A process accepted in error is replaced by the one that keeps reporting.
 #[test]
 fn a_forged_process_is_replaced_by_the_one_that_keeps_reporting() {
-  let mut record = known_born("i-1", 100, 4);
-  assert_eq!(record.reported(Time(1), &born("i-1", 150, 1, true)), Heard::News);
+  let mut record = known_started("i-1", 100, 4);
+  assert_eq!(record.reported(Time(1), &started("i-1", 150, 1, true)), ReportOutcome::Accepted);
   assert_eq!(record.state(), BackendState::Leaving);
   for second in 1..4 {
-    record.reported(Time(second * 1_000), &born("i-1", 100, 4 + second, false));
+    record.reported(Time(second * 1_000), &started("i-1", 100, 4 + second, false));
     // The health endpoint names the id that both bear.
-    record.probed(Time(second * 1_000 + 250), &instance("i-1"), None);
+    record.health_checked(Time(second * 1_000 + 250), &instance("i-1"), None);
   }
   assert_eq!(record.process(), Some(&process("i-1", Some(100))));
   assert_eq!(record.state(), BackendState::Ready);
@@ -280,11 +297,11 @@
           let late = u.choose(&sent)?.clone();
           record.reported(Time(now), &late);
         }
-        4 if !is_leaving => record.probed(Time(now), &instance(id), None),
-        5 => record.vanished(),
+        4 if !is_leaving => record.health_checked(Time(now), &instance(id), None),
+        5 => record.became_unreachable(),
         _ => {
           sequence += 1;
-          let report = born(id, moment, sequence, is_leaving);
+          let report = started(id, moment, sequence, is_leaving);
           record.reported(Time(now), &report);
           sent.push(report);
         }
@@ -302,8 +319,8 @@
     }
     for _ in 0..4 {
       (now, sequence) = (now + 1_000, sequence + 1);
-      record.reported(Time(now), &born(id, moment, sequence, false));
-      record.probed(Time(now), &instance(id), None);
+      record.reported(Time(now), &started(id, moment, sequence, false));
+      record.health_checked(Time(now), &instance(id), None);
     }
     assert_eq!(record.process(), Some(&process(id, Some(moment))));
     assert_eq!(record.state(), BackendState::Ready, "{record:?}");
@@ -315,28 +332,28 @@
 #[test]
 fn a_process_that_may_have_turned_cold_counts_as_cold_until_it_answers() {
   let mut record = known("i-1", 1);
-  assert!(!record.is_cold(Time(10)) && !record.is_in_doubt());
-  record.may_be_cold(Time(10), 3_000);
-  assert!(record.is_cold(Time(3_000)) && record.is_in_doubt());
-  record.probed(Time(20), &instance("i-2"), Some(0));
+  assert!(!record.is_cold(Time(10)) && !record.needs_health_check());
+  record.assume_cold(Time(10), 3_000);
+  assert!(record.is_cold(Time(3_000)) && record.needs_health_check());
+  record.health_checked(Time(20), &instance("i-2"), Some(0));
   assert!(record.is_cold(Time(20)), "an answer of another process doesn't count");
-  record.probed(Time(20), &instance("i-1"), Some(500));
-  assert!(record.is_cold(Time(519)) && !record.is_cold(Time(520)) && !record.is_in_doubt());
+  record.health_checked(Time(20), &instance("i-1"), Some(500));
+  assert!(record.is_cold(Time(519)) && !record.is_cold(Time(520)) && !record.needs_health_check());
 }
 
 /// A healthy process whose answers don't include a warm-up time isn't cold.
 #[test]
 fn a_health_check_without_a_warm_up_time_clears_the_doubt() {
   let mut record = known("i-1", 1);
-  record.may_be_cold(Time(10), 3_000);
-  record.probed(Time(20), &instance("i-1"), None);
-  assert!(!record.is_cold(Time(20)) && !record.is_in_doubt());
+  record.assume_cold(Time(10), 3_000);
+  record.health_checked(Time(20), &instance("i-1"), None);
+  assert!(!record.is_cold(Time(20)) && !record.needs_health_check());
 }
 
 #[test]
 fn a_report_sets_the_remaining_warm_up() {
   let mut record = known("i-1", 1);
   let cold = BackendReport { cold_left_ms: 700, ..report("i-1", 2, false) };
-  assert_eq!(record.reported(Time(100), &cold), Heard::News);
+  assert_eq!(record.reported(Time(100), &cold), ReportOutcome::Accepted);
   assert!(record.is_cold(Time(799)) && !record.is_cold(Time(800)));
 }
--- a/tests/crowds.rs
+++ b/tests/crowds.rs
@@ -86,22 +86,22 @@
 fn boxes_of_a_service_follow_the_news() {
   let mut known = ServiceEndpoints::default();
   let [mut one, other] = [endpoint("box-1", "hall-1", 4), endpoint("box-2", "hall-1", 4)];
-  known.take(&one);
-  known.take(&other);
+  known.update(&one);
+  known.update(&other);
   assert_eq!((known.of(&one.service).len(), known.live(), known.count()), (2, 2, 2));
   one.state = EndpointState::Draining;
-  known.take(&one);
+  known.update(&one);
   assert_eq!((known.of(&one.service).len(), known.live()), (2, 1));
   let former = one.service.clone();
   one.service = "another".parse().expect("a name");
-  known.take(&one);
+  known.update(&one);
   assert_eq!((known.of(&former).len(), known.of(&one.service).len()), (1, 1));
   one.state = EndpointState::Lost;
-  known.take(&one);
+  known.update(&one);
   assert_eq!((known.of(&one.service).len(), known.lost(), known.count()), (0, 1, 2));
   assert!(known.find(&one.peer.box_id).is_none());
   one.state = EndpointState::Live;
-  known.take(&one);
+  known.update(&one);
   assert_eq!((known.lost(), known.count()), (0, 2));
   let boxes: BTreeSet<&str> = known.boxes().map(BoxId::as_str).collect();
   assert_eq!(boxes, BTreeSet::from(["box-1", "box-2"]));
--- a/tests/organisations.rs
+++ b/tests/organisations.rs
@@ -102,15 +102,15 @@
 fn set_boxes(daemon: &mut RateLimits<OrganisationName>, now: u64, boxes: &[BoxId], lost: usize) {
   for index in 0..BOXES_MAX {
     let box_id = box_id(index);
-    daemon.note_box(Time(now), &box_id, boxes.contains(&box_id));
+    daemon.set_box(Time(now), &box_id, boxes.contains(&box_id));
   }
-  daemon.set_lost(lost);
+  daemon.set_lost_boxes(lost);
 }
 
 /// A message between daemons that is in flight.
 enum Message {
   Answer { grant: Option<Grant>, organisation: OrganisationName, to: usize, wanted: u64 },
-  Draw { from: usize, keeper: BoxId, organisation: OrganisationName, wanted: u64 },
+  Draw { from: usize, owner: BoxId, organisation: OrganisationName, wanted: u64 },
 }
 
 /// Simulated daemons with rate limits, in virtual time.
@@ -206,18 +206,18 @@
 
   fn draw(&mut self, from: usize, organisation: &OrganisationName, wanted: u64) {
     self.draws += 1;
-    let keeper = self.daemons[&from].keeper(organisation).cloned().expect("a keeper");
+    let owner = self.daemons[&from].ledger_owner(organisation).cloned().expect("a owner");
     let organisation = organisation.clone();
-    self.schedule(self.now + DELAY_MS, Message::Draw { from, keeper, organisation, wanted });
+    self.schedule(self.now + DELAY_MS, Message::Draw { from, owner, organisation, wanted });
   }
 
   fn deliver(&mut self, message: Message) {
     let now = Time(self.now);
     match message {
-      Message::Draw { from, keeper, organisation, wanted } => {
+      Message::Draw { from, owner, organisation, wanted } => {
         let limit = self.limits[&organisation];
         let is_cut = |index: usize| index != from && self.cut.contains(&index);
-        let at = self.daemons.keys().copied().find(|index| box_id(*index) == keeper);
+        let at = self.daemons.keys().copied().find(|index| box_id(*index) == owner);
         let at = at.filter(|at| !is_cut(*at) && (*at == from || !self.cut.contains(&from)));
         let kept = at.and_then(|at| self.daemons.get_mut(&at));
         let grant = kept.map(|daemon| daemon.draw(now, &organisation, limit, wanted));
@@ -230,7 +230,7 @@
         let Some(daemon) = self.daemons.get_mut(&to) else {
           return;
         };
-        let woken = daemon.drawn(now, &organisation, limit, wanted, grant);
+        let woken = daemon.draw_completed(now, &organisation, limit, wanted, grant);
         for (waiter, admission) in woken.settled {
           self.settle(&waiter, admission);
         }
@@ -243,8 +243,8 @@
 
   /// Stops the daemon that owns an organisation's ledger without telling the others.
   fn stop_ledger_owner(&mut self, organisation: &str) {
-    let keeper = self.daemons[&0].keeper(&name(organisation)).cloned();
-    self.daemons.retain(|index, _| Some(box_id(*index)) != keeper);
+    let owner = self.daemons[&0].ledger_owner(&name(organisation)).cloned();
+    self.daemons.retain(|index, _| Some(box_id(*index)) != owner);
   }
 
   /// The most admitted requests of an organisation within any window.
@@ -367,14 +367,14 @@
 fn a_returned_token_admits_another_request() {
   let mut limits: RateLimits<()> = RateLimits::default();
   let (now, organisation, limit) = (Time(0), name("council"), limit(1.0, 1));
-  limits.note_box(now, &box_id(0), true);
+  limits.set_box(now, &box_id(0), true);
   assert_eq!(limits.arrive(now, &organisation, limit, ()).draw, Some(1));
   let grant = limits.draw(now, &organisation, limit, 1);
-  let woken = limits.drawn(now, &organisation, limit, 1, Some(grant));
+  let woken = limits.draw_completed(now, &organisation, limit, 1, Some(grant));
   let refused = Admission::Refused { retry_after_ms: grant.retry_after_ms };
   let first = if grant.tokens > 0 { Admission::Admitted } else { refused };
   assert_eq!(woken.settled, [((), first)]);
-  limits.give_back(now, &organisation);
+  limits.return_token(now, &organisation);
   let arrived = limits.arrive(now, &organisation, limit, ());
   assert_eq!(arrived.admission, Some(Admission::Admitted));
 }
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -40,7 +40,7 @@
 
   fn found(&mut self, now: Time, index: usize, what: RunOutcome) -> Vec<QuarantineChange> {
     self.last_id += 1;
-    self.boxes[index].add_finding(RunFinding { id: self.last_id, what });
+    self.boxes[index].add_finding(RunFinding { id: self.last_id, outcome: what });
     self.quarantine.hear(now, self.boxes.iter())
   }
 
--- a/tests/rollouts.rs
+++ b/tests/rollouts.rs
@@ -251,7 +251,7 @@
   world.run(5_000);
   assert_eq!(world.arrived.0, before);
   let traffic = world.fleet.traffic[&Followers::box_id(3)].of(&service());
-  assert_eq!(traffic.main_lane(), Lane::InForce);
+  assert_eq!(traffic.default_lane(), Lane::InForce);
   assert_eq!(traffic.base, Some("v1".parse().expect("a name")));
 }
 
--- a/tests/support/rollout_world.rs
+++ b/tests/support/rollout_world.rs
@@ -237,7 +237,7 @@
       server.running = running;
       for run in ended {
         let route: RouteName = run.route.parse().expect("a name");
-        server.observer.ran(&route, run.failed, (!run.failed).then_some(run.took_ms));
+        server.observer.record_run(&route, run.failed, (!run.failed).then_some(run.took_ms));
         self.bad_answers += u64::from(run.is_bad);
       }
     }
@@ -263,10 +263,10 @@
     };
     let mut table = self.fleet.traffic.remove(&Followers::box_id(sender)).unwrap_or_default();
     let (traffic, is_ready) = (table.of(&service()), table.is_known());
-    let lane = table.deal(&service(), &mut self.rng);
+    let lane = table.next_lane(&service(), &mut self.rng);
     self.fleet.traffic.insert(Followers::box_id(sender), table);
     let lanes =
-      if lane == traffic.main_lane() { vec![lane] } else { vec![lane, traffic.main_lane()] };
+      if lane == traffic.default_lane() { vec![lane] } else { vec![lane, traffic.default_lane()] };
     for lane in lanes {
       let admitted = |endpoint: &&Endpoint| {
         endpoint.state == EndpointState::Live && traffic.admits(endpoint, lane)
@@ -298,7 +298,7 @@
     let is_leaving = traffic.is_leaving(&server.software);
     server.leaving_since = is_leaving.then(|| server.leaving_since.unwrap_or(now));
     let has_left = server.leaving_since.is_some_and(|since| now - since >= LEAVING_MS);
-    let is_out = traffic.why_out_of_force(Some(&server.software)).is_some();
+    let is_out = traffic.rejection_reason(Some(&server.software)).is_some();
     if has_left || is_out || server.running.len() >= SLOTS as usize && lane == Lane::Target {
       return false;
     }
@@ -354,8 +354,8 @@
     let is_leaving = traffic.is_leaving(&server.software);
     server.leaving_since = is_leaving.then(|| server.leaving_since.unwrap_or(now));
     let has_left = server.leaving_since.is_some_and(|since| now - since >= LEAVING_MS);
-    server.observer.watch(traffic.ordered_at);
-    server.observer.tell(&endpoint, has_left && server.running.is_empty())
+    server.observer.set_rollout(traffic.order_revision);
+    server.observer.evidence(&endpoint, has_left && server.running.is_empty())
   }
 
   /// Whether a bad version stayed within its exposure limits: a tenth of all requests plus fifty, and none too late.
