--- a/src/distribution/follower/mod.rs
+++ b/src/distribution/follower/mod.rs
@@ -316,7 +316,7 @@
 
   /// Publishes to the fleet how requests ended at this box's backend server.
   fn runs_ended(&mut self, what: RunOutcome) {
-    self.own.add_finding(RunFinding { id: self.rng.random(), what });
+    self.own.add_finding(RunFinding { id: self.rng.random(), outcome: what });
     self.announce();
   }
 
--- a/src/distribution/follower/rollouts.rs
+++ b/src/distribution/follower/rollouts.rs
@@ -14,7 +14,7 @@
           "the operators order {service} to run {} within {} ms at revision {}",
           order.target, order.duration_ms, entry.revision
         ));
-        self.rollouts.ordered(self.now.time, &order, entry.revision);
+        self.rollouts.order_found(self.now.time, &order, entry.revision);
       }
       Ok(order) => {
         self.log(format!("the order for {service} names another service, {}", order.service));
@@ -30,7 +30,7 @@
     }
     if let Some(service) = self.source.ordered_service(key) {
       self.log(format!("the operators withdrew their order for {service}"));
-      let actions = self.rollouts.withdrawn(self.now.time, &service);
+      let actions = self.rollouts.order_withdrawn(self.now.time, &service);
       self.carry_out(actions);
     }
   }
@@ -38,13 +38,13 @@
   /// Handles a roll-out's record found among the entries of the directory.
   pub(super) fn note_rollout(&mut self, service: &ServiceName, entry: &Entry) {
     let (now, unix_ms) = (self.now.time, self.now.unix_ms);
-    let actions = self.rollouts.found(now, unix_ms, service, entry);
+    let actions = self.rollouts.record_found(now, unix_ms, service, entry);
     self.carry_out(actions);
   }
 
   /// Handles a roll-out's state sent by a neighbour.
-  pub(super) fn rollout_received(&mut self, link: LinkId, update: &rollout::Word) {
-    let (is_new, actions) = self.rollouts.heard(self.now.time, update);
+  pub(super) fn rollout_received(&mut self, link: LinkId, update: &rollout::RolloutUpdate) {
+    let (is_new, actions) = self.rollouts.update_received(self.now.time, update);
     if is_new && actions.is_empty() {
       self.send_rollout(update, Some(link));
     }
@@ -53,12 +53,12 @@
 
   /// Sends the state of all roll-outs to a new neighbour.
   pub(super) fn send_rollouts_to(&mut self, link: LinkId) {
-    for update in self.rollouts.words(self.now.time) {
+    for update in self.rollouts.updates(self.now.time) {
       self.send(link, Message::Rollout(Box::new(update)));
     }
   }
 
-  fn send_rollout(&mut self, update: &rollout::Word, but: Option<LinkId>) {
+  fn send_rollout(&mut self, update: &rollout::RolloutUpdate, but: Option<LinkId>) {
     let links: Vec<LinkId> = self.links.keys().copied().filter(|link| Some(*link) != but).collect();
     for link in links {
       self.send(link, Message::Rollout(Box::new(update.clone())));
@@ -72,9 +72,9 @@
           let call = self.call_store(request);
           self.rollout_calls.insert(call, service);
         }
-        RolloutAction::Changed => self.publish_traffic(),
+        RolloutAction::TrafficChanged => self.publish_traffic(),
         RolloutAction::Log(text) => self.log(text),
-        RolloutAction::Spread(update) => self.send_rollout(&update, None),
+        RolloutAction::Broadcast(update) => self.send_rollout(&update, None),
       }
     }
   }
@@ -123,12 +123,13 @@
   }
 
   pub(super) fn tick_rollouts(&mut self) {
-    for service in self.rollouts.services_at_work() {
+    for service in self.rollouts.active_services() {
       let is_of = |endpoint: &&Endpoint| endpoint.service == service;
       let endpoints = self.endpoints.present().filter(is_of).collect();
       let hears_all = self.watchers.is_one(&self.own.peer.box_id);
       let view = view(&self.identity, self.now, endpoints);
-      let view = FleetView { hears_all, rank: self.decider_rank(&service), ..view };
+      let view =
+        FleetView { receives_all_evidence: hears_all, rank: self.decider_rank(&service), ..view };
       let actions = self.rollouts.tick(&service, &view);
       self.carry_out(actions);
     }
@@ -150,7 +151,7 @@
   pub(super) fn evidence_received(&mut self, from: Option<LinkId>, received: Vec<Evidence>) {
     let now = self.now.time;
     for evidence in received {
-      if self.rollouts.observed(now, &evidence) {
+      if self.rollouts.evidence_received(now, &evidence) {
         self.unsent_evidence.push((from, evidence));
       }
     }
@@ -185,7 +186,7 @@
 fn view<'a>(identity: &'a Identity, now: Moment, endpoints: Vec<&'a Endpoint>) -> FleetView<'a> {
   FleetView {
     endpoints,
-    hears_all: false,
+    receives_all_evidence: false,
     limits: identity.share_limits,
     now: now.time,
     own_box: &identity.endpoint.peer.box_id,
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -12,8 +12,8 @@
     UnreadableEntry,
   },
   fleet::{
-    BackendRecord, BackendReport, BackendState, Endpoint, EndpointState, Heard, Peer, Process,
-    RunOutcome, ServiceEndpoints,
+    BackendRecord, BackendReport, BackendState, Endpoint, EndpointState, Peer, Process,
+    ReportOutcome, RunOutcome, ServiceEndpoints,
   },
   links::{self, Credentials, IncomingFrames, Outgoing},
   organisations::{Admission, KeyRing, RateLimits},
--- a/src/requests/dispatch.rs
+++ b/src/requests/dispatch.rs
@@ -275,7 +275,7 @@
   /// Chooses among the boxes not yet tried. A canary request goes to the version in force if no box
   /// of the new version can run it at once, so that a canary doesn't delay callers.
   fn choose_except(&self, tried: &[&BoxId], context: &mut DispatchContext) -> Choice {
-    let main_lane = context.traffic.main_lane();
+    let main_lane = context.traffic.default_lane();
     let is_first = self.ended.is_empty() && self.running.is_empty() && self.lost == 0;
     if self.profile.lane == Lane::Target && main_lane == Lane::InForce && is_first {
       let choice = self.choose_in_lane(tried, Lane::Target, context);
--- a/src/requests/quarantine.rs
+++ b/src/requests/quarantine.rs
@@ -88,13 +88,13 @@
     // A daemon that starts receives all findings at once, unordered. Crashes are counted first, so
     // that a completed run anywhere clears a request.
     for (box_id, finding) in &fresh {
-      if let RunOutcome::Crashed(suspects) = &finding.what {
+      if let RunOutcome::Crashed(suspects) = &finding.outcome {
         changes
           .extend(suspects.iter().filter_map(|suspect| self.count_crash(now, box_id, *suspect)));
       }
     }
     for (_, finding) in &fresh {
-      if let RunOutcome::Survived(survivors) = &finding.what {
+      if let RunOutcome::Survived(survivors) = &finding.outcome {
         changes.extend(survivors.iter().filter_map(|survivor| self.clear(*survivor)));
       }
     }
--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -1,8 +1,8 @@
-//! Moving the traffic of a service to another version of its software: who decides, how much of the traffic goes
-//! where, and what shows whether the new version is good.
+//! Rollouts: moving a service's traffic to another version of its software. Covers which box decides, how the traffic
+//! is split, and how a bad version is detected.
 //!
-//! All of it is pure. [`Rollouts`] is a box's state machine for this: `distribution` hands it what is heard, and
-//! carries out the [`RolloutAction`]s that it returns. `docs/design/rollouts.md` weighs the ways.
+//! This module does no I/O. [`Rollouts`] is a box's state machine: `distribution` passes it the messages received and
+//! carries out the [`RolloutAction`]s that it returns. `docs/design/rollouts.md` compares the alternatives.
 
 use super::*;
 
@@ -12,31 +12,33 @@
 };
 
 use self::{
-  evidence_book::EvidenceBook, judge::judge, pending_call::PendingCall, plan::Rung, stored::Stored,
+  canary_step::CanaryStep, evidence_history::EvidenceHistory, pending_call::PendingCall,
+  regression::find_regression, stored::Stored,
 };
 
 pub use self::{
   canary::Canary, evidence::Evidence, fleet_view::FleetView, lane::Lane, observer::Observer,
   order::Order, record::Record, rollout::Rollout, rollout_action::RolloutAction,
-  rollouts::Rollouts, share_limits::ShareLimits, stage::Stage, tally::Tally, traffic::Traffic,
-  traffic_table::TrafficTable, word::Word,
+  rollout_update::RolloutUpdate, rollouts::Rollouts, share_limits::ShareLimits, stage::Stage,
+  tally::Tally, traffic::Traffic, traffic_table::TrafficTable,
 };
 
 mod canary;
+mod canary_step;
 mod evidence;
-mod evidence_book;
+mod evidence_history;
 mod fleet_view;
-mod judge;
 pub mod keys;
 mod lane;
 mod observer;
 mod order;
 mod pending_call;
-mod plan;
 mod record;
+mod regression;
 #[allow(clippy::module_inception)]
 mod rollout;
 mod rollout_action;
+mod rollout_update;
 mod rollouts;
 mod share_limits;
 mod stage;
@@ -44,4 +46,3 @@
 mod tally;
 mod traffic;
 mod traffic_table;
-mod word;
--- a/src/rollout/traffic.rs
+++ b/src/rollout/traffic.rs
@@ -1,25 +1,25 @@
 use super::*;
 
-/// Which versions of a service get which requests.
+/// How the requests for a service are split between its versions.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Traffic {
-  /// The version in force; any where there is none.
+  /// The version in force. If `None`, any version other than the target counts as in force.
   pub base: Option<SoftwareVersion>,
-  /// The boxes of the new version that take its share; all where there are none.
+  /// The boxes of the new version that take its share; all of them if empty.
   pub boxes: BTreeSet<BoxId>,
-  /// Requests in a thousand for the new version.
+  /// The new version's share, in requests per thousand.
   pub permille: u32,
-  /// The revision of the order that goes on; nothing where none does.
-  pub ordered_at: Option<Revision>,
-  /// A version that is not in force, and gets its share alone.
+  /// The store's revision of the order in progress, if any.
+  pub order_revision: Option<Revision>,
+  /// The new version, which is not in force and gets only its share.
   pub target: Option<SoftwareVersion>,
 }
 
 impl Traffic {
-  /// All requests.
-  pub const WHOLE: u32 = 1_000;
+  /// The share that stands for all requests, in requests per thousand.
+  pub const PERMILLE_ALL: u32 = 1_000;
 
-  /// The traffic while a roll-out stands like that.
+  /// The traffic rule that follows from a rollout record.
   pub fn of(record: &Record) -> Self {
     let target = record.order.target.clone();
     match &record.stage {
@@ -31,21 +31,21 @@
           _ => BTreeSet::new(),
         },
         permille: stage.permille(),
-        ordered_at: (!stage.is_final()).then_some(record.ordered_at),
+        order_revision: (!stage.is_final()).then_some(record.order_revision),
         target: Some(target),
       },
     }
   }
 
-  /// The traffic of a service of which no roll-out is known.
+  /// The traffic rule of a service without a rollout.
   pub fn in_force(base: SoftwareVersion) -> Self {
     Self { base: Some(base), ..Self::default() }
   }
 
-  /// Whether a box may get a request of a lane.
+  /// Whether a box may receive a request of this lane.
   pub fn admits(&self, endpoint: &Endpoint, lane: Lane) -> bool {
     let Some(software) = &endpoint.software else {
-      // Which version it runs is known soon. Meanwhile it may be the new one.
+      // The version becomes known shortly. Until then it may be the new one.
       return self.target.is_none();
     };
     if self.target.as_ref() == Some(software) {
@@ -56,13 +56,13 @@
     is_in_force && lane == Lane::InForce
   }
 
-  /// The lane of a request that is not dealt: the new version's only where all requests go there.
-  pub fn main_lane(&self) -> Lane {
-    if self.permille == Self::WHOLE { Lane::Target } else { Lane::InForce }
+  /// The lane of requests outside the new version's share: `Target` only once all requests go there.
+  pub fn default_lane(&self) -> Lane {
+    if self.permille == Self::PERMILLE_ALL { Lane::Target } else { Lane::InForce }
   }
 
-  /// Why a backend server of a version may not run requests; nothing where it may.
-  pub fn why_out_of_force(&self, software: Option<&SoftwareVersion>) -> Option<&'static str> {
+  /// Returns why a backend server of this version may not run requests, or `None` if it may.
+  pub fn rejection_reason(&self, software: Option<&SoftwareVersion>) -> Option<&'static str> {
     let Some(software) = software else {
       return self.target.as_ref().map(|_| "the version of the backend server is not known yet");
     };
@@ -73,8 +73,9 @@
     (!is_in_force).then_some("the version of the backend server is not in force")
   }
 
-  /// Whether a version goes out of force: all requests go to another one.
+  /// Whether a version is being replaced: all requests go to another one.
   pub fn is_leaving(&self, software: &SoftwareVersion) -> bool {
-    self.permille == Self::WHOLE && self.target.as_ref().is_some_and(|target| target != software)
+    self.permille == Self::PERMILLE_ALL
+      && self.target.as_ref().is_some_and(|target| target != software)
   }
 }
