--- a/src/administration/changes.rs
+++ b/src/administration/changes.rs
@@ -83,7 +83,7 @@
 
 /// Carries out the steps of an acceptance until it ends.
 async fn drive(shared: &Shared, mut acceptance: Acceptance) -> Outcome {
-  let mut step = acceptance.resumed();
+  let mut step = acceptance.resume();
   loop {
     step = match step {
       AcceptanceStep::Call(request) => {
@@ -93,7 +93,7 @@
       AcceptanceStep::Done(outcome) => return outcome,
       AcceptanceStep::Wait { pause_ms } => {
         timer::sleep(Duration::from_millis(pause_ms)).await;
-        acceptance.resumed()
+        acceptance.resume()
       }
     };
   }
--- a/src/distribution/acceptance.rs
+++ b/src/distribution/acceptance.rs
@@ -1,42 +1,42 @@
 use super::*;
 
-/// Brings one operators' change into the store exactly once.
+/// Writes one change of the operators to the store exactly once.
 ///
-/// One compare-and-swap of the head accepts a change. The head lists the ids of the changes it
-/// accepted, so that a writer whose answer was lost reads the head and knows. A compare-and-swap
-/// whose fate is unknown can still take effect as long as the head has the revision it was sent
-/// for; until the head has moved on, such a change ends as accepted or as unknown, never as refused.
+/// A change is accepted by one compare-and-swap of the head. The head lists the ids of the accepted
+/// changes, so a writer that lost the answer can read the head to learn the outcome. A
+/// compare-and-swap with an unknown outcome can still take effect while the head has the revision
+/// that it expects. Until the head has moved on, such a change ends as accepted or unknown, never
+/// as refused.
 #[derive(Debug)]
 pub struct Acceptance {
   change: Change,
   deadline: Time,
-  /// The newest configuration that this box holds, to start from.
+  /// The newest configuration that this box holds, used as the base.
   held: Option<Arc<Configuration>>,
-  /// The revision of the head for which a write of unknown fate was sent.
+  /// The state of the head that a write with an unknown outcome expects.
   in_doubt: Option<Expected>,
   phase: Phase,
   rng: ChaCha8Rng,
-  tries: u32,
+  attempts: u32,
 }
 
-/// What the head must be for a write of it to take effect.
+/// The state of the head that a write requires to take effect.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Expected {
-  /// Not there.
+  /// The key does not exist.
   Absent,
-  /// Of that revision.
+  /// The key has this revision.
   At(Revision),
 }
 
-/// A version ready to be written.
+/// A new version, ready to be written to the store.
 #[derive(Clone, Debug)]
 struct Proposal {
-  /// What the former snapshot's changes are archived as.
+  /// The archive of the changes since the previous snapshot.
   archive: Option<(Key, String)>,
   head: Head,
-  /// What the head must be when it is written.
   expected: Expected,
-  /// The whole configuration, where the head names it as its snapshot.
+  /// The whole configuration, if the new head names it as its snapshot.
   snapshot: Option<(Key, String)>,
 }
 
@@ -51,10 +51,10 @@
 }
 
 impl Acceptance {
-  /// Longest pause between two tries.
+  /// Longest pause between two attempts, in milliseconds.
   const BACKOFF_MAX_MS: u64 = 800;
 
-  /// A change that should be accepted before `deadline`, by a daemon that holds `held`.
+  /// Prepares to write `change` before `deadline`, on a daemon that holds `held`.
   pub fn new(change: Change, held: Option<Arc<Configuration>>, deadline: Time, seed: u64) -> Self {
     Self {
       change,
@@ -63,22 +63,22 @@
       in_doubt: None,
       phase: Phase::Waiting,
       rng: ChaCha8Rng::seed_from_u64(seed),
-      tries: 0,
+      attempts: 0,
     }
   }
 
-  /// Starts, or goes on after a pause.
-  pub fn resumed(&mut self) -> AcceptanceStep {
+  /// Starts, or continues after a pause.
+  pub fn resume(&mut self) -> AcceptanceStep {
     self.phase = Phase::ReadingHead;
     AcceptanceStep::Call(StoreRequest::Read { key: keys::head() })
   }
 
-  /// Takes in the store's answer to the last call.
+  /// Handles the store's answer to the last call.
   pub fn answered(&mut self, now: Time, result: store::Result<Reply>) -> AcceptanceStep {
     match std::mem::replace(&mut self.phase, Phase::Waiting) {
       Phase::ReadingHead => self.head_read(now, result),
       Phase::ReadingSnapshot { head, revision } => self.snapshot_read(now, &result, head, revision),
-      Phase::Waiting => self.resumed(),
+      Phase::Waiting => self.resume(),
       Phase::WritingArchive(proposal) => self.archive_written(now, result, proposal),
       Phase::WritingHead(proposal) => self.head_written(now, result, &proposal),
       Phase::WritingSnapshot(proposal) => self.snapshot_written(now, result, proposal),
@@ -89,7 +89,7 @@
     let entry = match result {
       Ok(Reply::Entry { entry, .. }) => entry,
       Ok(_) => return refused(Refused::Unreadable { key: keys::head() }),
-      Err(err) => return self.again(now, err),
+      Err(err) => return self.retry(now, err),
     };
     let Some(entry) = entry else {
       return self.start_history();
@@ -100,10 +100,10 @@
     if let Some(version) = head.version_of(&self.change.id) {
       return AcceptanceStep::Done(Outcome::Accepted { version });
     }
-    if self.in_doubt.is_some_and(|doubted| doubted != Expected::At(entry.revision)) {
+    if self.in_doubt.is_some_and(|in_doubt| in_doubt != Expected::At(entry.revision)) {
       self.in_doubt = None;
     }
-    if let Some(refusal) = self.behind(head.version) {
+    if let Some(refusal) = self.refuse_if_store_behind(head.version) {
       return refusal;
     }
     if let Some(base) = self.base_from_held(&head) {
@@ -115,23 +115,23 @@
     }
   }
 
-  /// The store knows no version yet.
+  /// Proposes the first version, for a store that has none yet.
   fn start_history(&mut self) -> AcceptanceStep {
-    if self.in_doubt.is_some_and(|doubted| doubted != Expected::Absent) {
+    if self.in_doubt.is_some_and(|in_doubt| in_doubt != Expected::Absent) {
       self.in_doubt = None;
     }
-    if let Some(refusal) = self.behind(Version(0)) {
+    if let Some(refusal) = self.refuse_if_store_behind(Version(0)) {
       return refusal;
     }
     self.propose(&Configuration::default(), None)
   }
 
-  fn behind(&self, newest: Version) -> Option<AcceptanceStep> {
+  fn refuse_if_store_behind(&self, newest: Version) -> Option<AcceptanceStep> {
     let held = self.held.as_ref().map(|held| held.version).filter(|held| *held > newest)?;
     Some(refused(Refused::StoreBehind { held, newest }))
   }
 
-  /// The store's newest configuration, made of the held one and the head's changes.
+  /// Builds the store's newest configuration from the held one and the changes in the head.
   fn base_from_held(&self, head: &Head) -> Option<Configuration> {
     let held = self.held.as_ref()?;
     if head.tail.first().is_some_and(|first| held.version.next() < first.version()) {
@@ -151,7 +151,7 @@
     let entry = match result {
       Ok(Reply::Entry { entry: Some(entry), .. }) => entry,
       Ok(_) => return self.pause(),
-      Err(err) => return self.again(now, err.clone()),
+      Err(err) => return self.retry(now, err.clone()),
     };
     let snapshot: Option<Configuration> = entry.value.decode().ok();
     let base = snapshot.and_then(|snapshot| after_tail(&snapshot, &head));
@@ -178,8 +178,8 @@
     self.write_head(proposal)
   }
 
-  /// The change does not hold on the newest version. Where a former write may still take effect,
-  /// that is not known to be final.
+  /// Ends a change that is invalid on the newest version. If an earlier write may still take
+  /// effect, the outcome is unknown.
   fn conflict(&mut self, err: configuration::Error) -> AcceptanceStep {
     if self.in_doubt.is_some() {
       return AcceptanceStep::Done(Outcome::Unknown { reason: err.to_string() });
@@ -194,7 +194,7 @@
     proposal: Proposal,
   ) -> AcceptanceStep {
     if let Err(err) = created(result) {
-      return self.again(now, err);
+      return self.retry(now, err);
     }
     if let Some((key, value)) = proposal.archive.clone() {
       self.phase = Phase::WritingArchive(proposal);
@@ -211,7 +211,7 @@
   ) -> AcceptanceStep {
     match created(result) {
       Ok(()) => self.write_head(proposal),
-      Err(err) => self.again(now, err),
+      Err(err) => self.retry(now, err),
     }
   }
 
@@ -234,18 +234,18 @@
   ) -> AcceptanceStep {
     match result {
       Ok(_) => AcceptanceStep::Done(Outcome::Accepted { version: proposal.head.version }),
-      Err(store::Error::Refused(Refusal::Exists | Refusal::RevisionMoved)) => self.resumed(),
+      Err(store::Error::Refused(Refusal::Exists | Refusal::RevisionMoved)) => self.resume(),
       Err(err) => {
         if matches!(err, store::Error::Unknown { .. }) {
           self.in_doubt = Some(proposal.expected);
         }
-        self.again(now, err)
+        self.retry(now, err)
       }
     }
   }
 
-  /// Tries again after a pause, or ends where time is up.
-  fn again(&mut self, now: Time, err: store::Error) -> AcceptanceStep {
+  /// Retries after a pause, or ends if the deadline has passed.
+  fn retry(&mut self, now: Time, err: store::Error) -> AcceptanceStep {
     if now < self.deadline {
       return self.pause();
     }
@@ -256,8 +256,8 @@
   }
 
   fn pause(&mut self) -> AcceptanceStep {
-    let base_ms = (20 << self.tries.min(6)).min(Self::BACKOFF_MAX_MS);
-    self.tries += 1;
+    let base_ms = (20 << self.attempts.min(6)).min(Self::BACKOFF_MAX_MS);
+    self.attempts += 1;
     self.phase = Phase::Waiting;
     AcceptanceStep::Wait { pause_ms: self.rng.random_range(base_ms / 2..=base_ms) }
   }
@@ -319,7 +319,7 @@
   Ok(((key, next.encode()), accepted.digest))
 }
 
-/// A value whose key tells its content may be there already.
+/// Treats an existing value as created: the key determines the content.
 fn created(result: store::Result<Reply>) -> store::Result {
   match result {
     Ok(_) | Err(store::Error::Refused(Refusal::Exists)) => Ok(()),
--- a/src/distribution/acceptance_step.rs
+++ b/src/distribution/acceptance_step.rs
@@ -1,15 +1,15 @@
 use super::*;
 
-/// What an [`Acceptance`] wants next.
+/// The next step of an [`Acceptance`].
 #[derive(Clone, Debug)]
 pub enum AcceptanceStep {
-  /// Call the store and hand the answer to [`Acceptance::answered`].
+  /// Call the store and pass the answer to [`Acceptance::answered`].
   Call(StoreRequest),
-  /// The change ended.
+  /// The change has ended.
   Done(Outcome),
-  /// Wait, then go on with [`Acceptance::resumed`].
+  /// Wait, then call [`Acceptance::resume`].
   Wait {
-    /// For how long.
+    /// Duration of the pause, in milliseconds.
     pause_ms: u64,
   },
 }
--- a/src/distribution/action.rs
+++ b/src/distribution/action.rs
@@ -1,24 +1,24 @@
 use super::*;
 
-/// What a [`Distributor`] wants done.
+/// What a [`Distributor`] asks its caller to do.
 #[derive(Clone, Debug)]
 pub enum Action {
-  /// An inquiry of this daemon's operators' side ended.
+  /// Answer an operator's inquiry that was asked on this daemon.
   Answer {
-    /// Boxes that could have answered and did not within the time.
+    /// Number of boxes that did not answer in time.
     missing: usize,
-    /// What is known.
+    /// The collected reports.
     reports: Vec<Report>,
     /// The token of [`Event::Asked`].
     token: u64,
   },
-  /// A newer configuration is in force from now on.
+  /// Put a newer configuration in force.
   Apply(Arc<Configuration>),
-  /// A newer version is known than the one held: what it brings may be missed here.
+  /// A version newer than the held one is known to exist, so the held configuration may be stale.
   Behind(Version),
   /// Call the store and return the answer as [`Event::StoreAnswered`].
   CallStore {
-    /// Named again in the answer.
+    /// The id of the call, repeated in the answer.
     call: u64,
     /// The request.
     request: StoreRequest,
@@ -28,7 +28,7 @@
     /// The link.
     link: LinkId,
   },
-  /// Look into the daemon's own records and return [`Event::Consulted`].
+  /// Query the daemon's own records and return [`Event::Consulted`].
   Consult {
     /// The inquiry.
     id: InquiryId,
@@ -37,22 +37,22 @@
   },
   /// The endpoint table changed.
   EndpointsChanged,
-  /// News about some boxes were taken into the endpoint table.
+  /// These endpoints were updated in the endpoint table.
   EndpointsNews(Vec<Endpoint>),
-  /// Which data halls the operators evacuate changed.
+  /// The set of evacuated data halls changed.
   EvacuationsChanged(BTreeSet<DataHall>),
-  /// Tell the log.
+  /// Write a line to the log.
   Log(String),
   /// Open a link; [`Event::LinkOpened`] or [`Event::LinkFailed`] follows.
   OpenLink(Peer),
-  /// A configuration in the store was not taken: tell operators.
+  /// Report to the operators that a configuration in the store was refused.
   Refuse {
-    /// What is wrong with it.
+    /// Why it was refused.
     reason: String,
-    /// Its version, where that much could be read.
+    /// Its version, if it could be read.
     version: Option<Version>,
   },
-  /// Which versions of services get which requests changed.
+  /// The split of traffic between versions of services changed.
   RolloutsChanged(BTreeMap<ServiceName, Traffic>),
   /// Send a message.
   Send {
@@ -61,8 +61,8 @@
     /// The message.
     message: Message,
   },
-  /// The store came back from a copy: tell operators.
+  /// Report to the operators that the store was restored from a backup, which began this era.
   StoreWentBack(Era),
-  /// The directory holds an entry that cannot be read: tell operators.
+  /// Report to the operators that the directory holds an entry that cannot be read.
   UnreadableEntry(UnreadableEntry),
 }
--- a/src/distribution/archive.rs
+++ b/src/distribution/archive.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// The changes that followed an older snapshot, kept so that any version in history can be made
-/// again.
+/// The changes that followed an older snapshot. Any past version can be rebuilt from its snapshot
+/// and archive.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Archive {
   /// The digest of the snapshot.
@@ -13,12 +13,12 @@
 }
 
 impl Archive {
-  /// The archive as JSON.
+  /// Encodes the archive as JSON.
   pub fn encode(&self) -> String {
     to_json(self)
   }
 
-  /// The last version that the archive leads to.
+  /// Returns the version after the last change of the archive.
   pub fn version(&self) -> Version {
     self.tail.last().map_or(self.snapshot_version, AcceptedChange::version)
   }
--- a/src/distribution/catalog.rs
+++ b/src/distribution/catalog.rs
@@ -1,87 +1,89 @@
 use super::*;
 
-/// The configuration that a daemon holds, with what it needs to bring others up to it.
+/// The configuration that a daemon holds, with the history needed to build updates for neighbours.
 ///
-/// The held version never goes back, and changes only whole.
+/// The held version never decreases, and an update is applied completely or not at all.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
   configuration: Option<Arc<Configuration>>,
   digest: Option<Digest>,
-  /// The lowest version that this box may take.
+  /// The lowest version that this box may apply.
   floor: Version,
-  /// Newest changes, oldest first; ends with the held version where not empty.
+  /// The newest changes, oldest first; if not empty, the last one leads to the held version.
   history: Vec<Summary>,
-  /// The last patches, oldest first, each starting where the one before it ended; ends with the held
-  /// version where not empty.
+  /// The last patches, oldest first, each based on the previous one's version; if not empty, the
+  /// last one leads to the held version.
   patches: VecDeque<Patch>,
-  /// Updates to the held version that were packed already, by what they start from.
+  /// Cached packed updates to the held version, by the version that they start from.
   packed: Vec<(Option<(Version, u32)>, PackedUpdate)>,
-  /// How the last versions came, oldest first.
+  /// The sources of the last versions, oldest first.
   provenance: VecDeque<Provenance>,
-  /// The last refusals, oldest first, each with when it happened in milliseconds since 1970.
+  /// The last refused updates, oldest first, each with its time in milliseconds since 1970.
   refusals: VecDeque<(u64, Error)>,
-  /// The last changes, oldest first, without gaps; ends with the held version where not empty.
+  /// The last changes, oldest first, without gaps; if not empty, the last one leads to the held
+  /// version.
   window: VecDeque<AcceptedChange>,
-  /// The version that the first change of the window starts from, with its digest.
+  /// The version that the first of these changes starts from, with its digest.
   window_base: Option<(Version, Digest)>,
 }
 
 impl Catalog {
-  /// Packed updates kept: most neighbours hold nothing, or one of the last versions.
+  /// Packed updates in the cache: most neighbours hold no version or one of the last few.
   const PACKED_MAX: usize = 4;
-  /// Patches kept for neighbours that are a few versions behind.
+  /// Patches retained for neighbours that are a few versions behind.
   const PATCHES_MAX: usize = 16;
-  /// Refusals and provenances kept.
+  /// Refusals, and sources of versions, retained.
   const RECORDS_MAX: usize = 64;
-  /// Changes kept for deltas.
+  /// Changes retained to build deltas.
   const WINDOW_MAX: usize = 64;
 
-  /// The held configuration.
+  /// Returns the held configuration.
   pub fn configuration(&self) -> Option<&Arc<Configuration>> {
     self.configuration.as_ref()
   }
 
-  /// The digest of the held configuration.
+  /// Returns the digest of the held configuration.
   pub fn digest(&self) -> Option<Digest> {
     self.digest
   }
 
-  /// The lowest version that this box may take.
+  /// Returns the lowest version that this box may apply.
   pub fn floor(&self) -> Version {
     self.floor
   }
 
-  /// The newest changes that led to the held version, oldest first.
+  /// Returns the newest changes that led to the held version, oldest first.
   pub fn history(&self) -> &[Summary] {
     &self.history
   }
 
-  /// The held version with the start of its digest.
+  /// Returns the held version with the prefix of its digest.
   pub fn held(&self) -> Option<(Version, u32)> {
     Some((self.version()?, self.digest?.prefix()))
   }
 
-  /// How the last versions came, oldest first.
+  /// Returns the sources of the last versions, oldest first.
   pub fn provenance(&self) -> impl Iterator<Item = &Provenance> {
     self.provenance.iter()
   }
 
-  /// Raises the floor. A floor is never lowered.
+  /// Raises the floor to at least `floor`; never lowers it.
   pub fn raise_floor(&mut self, floor: Version) {
     self.floor = self.floor.max(floor);
   }
 
-  /// The last refusals, oldest first, each with when it happened in milliseconds since 1970.
+  /// Returns the last refused updates, oldest first, each with its time in milliseconds since 1970.
   pub fn refusals(&self) -> impl Iterator<Item = &(u64, Error)> {
     self.refusals.iter()
   }
 
-  /// Remembers that something was not taken, for those who ask why a box holds what it holds.
+  /// Records a refused update, for operators who ask why a box holds its version.
   pub fn note_refusal(&mut self, unix_ms: u64, err: Error) {
     push_bounded(&mut self.refusals, (unix_ms, err), Self::RECORDS_MAX);
   }
 
-  /// Takes in an update, or keeps all as it was and says why.
+  /// Applies an update, or changes nothing and returns the reason. Refusals are recorded, except
+  /// of the version already held.
   pub fn take(&mut self, update: Update, from: Option<BoxId>, unix_ms: u64) -> Result {
     let offered = update.version();
     let outcome = self.check_forward(offered).and_then(|()| match update {
@@ -113,7 +115,8 @@
     Ok(())
   }
 
-  /// All patches hold, or nothing changes: otherwise a version could be held that is not in force.
+  /// Applies all patches or none; after a partial application the held version would not be the one
+  /// in force.
   fn take_patches(&mut self, patches: Vec<Patch>) -> Result {
     let known = self.version().unwrap_or_default();
     let mut held = self.configuration.clone().zip(self.digest);
@@ -130,7 +133,7 @@
     Ok(())
   }
 
-  /// Takes a whole version from a source, and remembers what leads to it from the held one.
+  /// Applies a whole version from a source, and retains the patch from the held version to it.
   pub fn take_whole(&mut self, configuration: Configuration, unix_ms: u64) -> Result {
     let version = configuration.version;
     let checked = self.check_forward(version).and_then(|()| Ok(configuration.validate()?));
@@ -153,7 +156,7 @@
   }
 
   fn remember_patch(&mut self, patch: Patch) {
-    // Changes one by one are not known across a patch.
+    // The individual changes that a patch combines are unknown, so no delta can span it.
     self.window.clear();
     self.window_base = None;
     if self.patches.back().is_some_and(|last| last.version != patch.base) {
@@ -162,8 +165,9 @@
     push_bounded(&mut self.patches, patch, Self::PATCHES_MAX);
   }
 
-  /// The patches from a version that somebody holds to the held one, where all are known and carry no
-  /// more than the whole: a few large changes in a row could otherwise outgrow a message.
+  /// Returns the patches from a neighbour's version to the held one, if all are known and together
+  /// no larger than the whole configuration. Several large patches in a row could otherwise exceed
+  /// the size limit of a message.
   fn patches_from(&self, (base, prefix): (Version, u32)) -> Option<Update> {
     let first = self.patches.iter().position(|patch| patch.base == base)?;
     let is_same = self.patches[first].base_digest.prefix() == prefix;
@@ -216,7 +220,7 @@
     Ok(())
   }
 
-  /// Puts a checked configuration in force. The one place where the held version changes.
+  /// Replaces the held configuration by a validated one. The held version changes only here.
   fn switch(
     &mut self,
     configuration: Arc<Configuration>,
@@ -242,8 +246,8 @@
     }
   }
 
-  /// The update that brings a daemon from `held` to the held version: a delta where the changes are
-  /// known and fewer bytes than the whole.
+  /// Returns the update from a neighbour's version `held` to this daemon's version: a delta or
+  /// patches if they are known and no larger than the whole configuration, else a snapshot.
   pub fn update_for(&self, held: Option<(Version, u32)>) -> Option<Update> {
     let configuration = self.configuration.clone()?;
     let digest = self.digest?;
@@ -258,7 +262,7 @@
     Some(Update::Snapshot { changes, configuration, digest, history })
   }
 
-  /// The same as it crosses links, packed once for all who start from there.
+  /// Returns the same update packed for the wire, cached for neighbours with the same version.
   pub fn packed_for(&mut self, held: Option<(Version, u32)>) -> Option<PackedUpdate> {
     if let Some((_, packed)) = self.packed.iter().find(|(base, _)| *base == held) {
       return Some(packed.clone());
@@ -287,13 +291,13 @@
     Some(Update::Delta { base, base_digest, changes })
   }
 
-  /// The held version.
+  /// Returns the held version.
   pub fn version(&self) -> Option<Version> {
     self.configuration.as_ref().map(|configuration| configuration.version)
   }
 }
 
-/// What `patch` makes of the held version, proved by its digest.
+/// Applies `patch` to the held version and validates the result.
 fn follow_patch(
   held: Option<(Arc<Configuration>, Digest)>,
   patch: &Patch,
@@ -310,7 +314,7 @@
   Ok((Arc::new(next), patch.digest))
 }
 
-/// What `changes` make of `base`, each proved by its digest.
+/// Applies `changes` to `base`, each checked against its digest.
 fn follow(base: Arc<Configuration>, changes: &[AcceptedChange]) -> Result<Arc<Configuration>> {
   let mut next = base;
   for change in changes {
--- a/src/distribution/distribution.rs
+++ b/src/distribution/distribution.rs
@@ -1,30 +1,30 @@
 use super::*;
 
-/// What a daemon runs to hold the newest configuration and the news about all boxes.
+/// Keeps the newest configuration and endpoint table of a daemon.
 ///
-/// Pure: takes a time and an event, returns actions.
+/// A pure state machine: takes a time and an event, and returns actions.
 pub trait Distribution {
-  /// The configuration held, with how it came.
+  /// Returns the held configuration, with its history and sources.
   fn catalog(&self) -> &Catalog;
 
-  /// The newest news about every box.
+  /// Returns the latest known endpoint of every box.
   fn endpoints(&self) -> &EndpointTable;
 
-  /// Takes in one event and returns what to do, in order.
+  /// Handles one event and returns the actions to perform, in order.
   fn handle(&mut self, now: Moment, event: Event) -> Vec<Action>;
 
-  /// The daemon's own endpoint.
+  /// Returns the daemon's own endpoint.
   fn own_endpoint(&self) -> &Endpoint;
 
-  /// What is known of the roll-out of a service's software.
+  /// Returns the known state of the roll-out of a service's software.
   fn rollout(&self, _service: &ServiceName) -> Option<&Rollout> {
     None
   }
 
-  /// What this daemon knows about its own part.
+  /// Returns this daemon's own status.
   fn status(&self) -> Status;
 
-  /// The entry of a box in the store, where it was found unreadable at the last look.
+  /// Returns a box's entry in the store if it was unreadable when last read.
   fn unreadable_entry(&self, box_id: &BoxId) -> Option<&UnreadableEntry>;
 }
 
@@ -49,7 +49,7 @@
     self.status()
   }
 
-  /// Boxes of such a fleet have no entries in the store.
+  /// Always `None`: boxes of such a fleet have no entries in the store.
   fn unreadable_entry(&self, _: &BoxId) -> Option<&UnreadableEntry> {
     None
   }
--- a/src/distribution/election.rs
+++ b/src/distribution/election.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-/// How a daemon takes a relay slot of its data hall and keeps it, by a lease in the store.
+/// Acquires a relay slot of the daemon's data hall and holds it by a lease in the store.
 ///
-/// Two daemons that both believe they hold a slot harm nothing: an update is applied only where it
-/// leads forward, and both lead to the same accepted versions.
+/// Two daemons that both believe they hold a slot are harmless: an update is applied only if it is
+/// newer, and both distribute the same accepted versions.
 #[derive(Clone, Debug, Default)]
 pub struct Election {
   phase: Phase,
-  /// Failed tries in a row.
+  /// Consecutive failed attempts.
   failures: u32,
 }
 
@@ -40,35 +40,35 @@
   },
 }
 
-/// What an election knows of its data hall.
+/// The data hall in which an election takes place.
 pub(super) struct Hall {
-  /// Boxes of the data hall.
+  /// Number of boxes in the data hall.
   pub(super) boxes: usize,
-  /// The life of a lease in milliseconds.
+  /// The time to live of a lease, in milliseconds.
   pub(super) lease_ttl_ms: u64,
-  /// The daemon's own box.
+  /// This daemon's box.
   pub(super) own: Peer,
 }
 
-/// What an election asks for.
+/// A step that an election asks its caller to handle.
 pub(super) enum Step {
   /// Call the store.
   Call(StoreRequest),
-  /// The slot is held from now on.
+  /// The slot was acquired.
   Won(RelaySlot),
-  /// The lease ended.
+  /// The lease ended, and the slot is no longer held.
   Lost(RelaySlot),
-  /// The relays of the data hall, as the store has them.
+  /// The relay entries of the data hall in the store.
   Seen(Vec<Entry>),
 }
 
 impl Election {
-  /// Milliseconds over which candidates spread, per box of the data hall.
+  /// Range of the candidates' random delay per box of the data hall, in milliseconds.
   const SPREAD_PER_BOX_MS: u64 = 16;
-  /// Milliseconds over which candidates spread at least.
+  /// Minimum range of the candidates' random delay, in milliseconds.
   const SPREAD_MIN_MS: u64 = 300;
 
-  /// The held slot.
+  /// Returns the held slot.
   pub fn held(&self) -> Option<&RelaySlot> {
     match &self.phase {
       Phase::Holding { slot, .. } => Some(slot),
@@ -76,7 +76,8 @@
     }
   }
 
-  /// Lets time pass. `vacant` tells whether the data hall has a slot that nobody is known to hold.
+  /// Returns the next call, if one is due. `vacant` is whether the data hall has a slot without a
+  /// known holder.
   pub(super) fn tick(
     &mut self,
     now: Time,
@@ -111,7 +112,7 @@
     }
   }
 
-  /// Takes in the answer to one of the election's calls; nothing where the call is not its own.
+  /// Handles the answer to a call; returns `None` if the call was not made by this election.
   pub(super) fn answered(
     &mut self,
     now: Time,
@@ -202,8 +203,8 @@
     vec![Step::Won(slot)]
   }
 
-  /// A lease that the store says has ended is lost. Silence of the store is not: with the store
-  /// down nobody else can take the slot.
+  /// Gives up the slot only if the store reports that the lease ended. While the store is down, no
+  /// other daemon can acquire the slot, so failed renewals are ignored.
   fn renewed(
     &mut self,
     result: &store::Result<Reply>,
@@ -218,7 +219,7 @@
     Vec::new()
   }
 
-  /// Gives the slot up, for a planned stop.
+  /// Releases the slot, for a planned stop.
   pub(super) fn resign(&mut self) -> Option<StoreRequest> {
     match std::mem::take(&mut self.phase) {
       Phase::Holding { lease, .. } => Some(StoreRequest::RevokeLease { lease }),
--- a/src/distribution/error.rs
+++ b/src/distribution/error.rs
@@ -1,44 +1,44 @@
 use super::*;
 
-/// Why an update is not applied. The held version stays.
+/// Why an update was not applied. The held version is unchanged.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Error {
-  /// It does not lead past the held version.
+  /// The update is not newer than the held version.
   Backwards {
     /// The version held.
     held: Version,
     /// The version offered.
     offered: Version,
   },
-  /// A fresh daemon does not know yet how far its box has been.
+  /// The update is older than a version that this box may have held before a restart.
   BelowFloor {
-    /// The lowest version that the box may take.
+    /// The lowest version that the box may apply.
     floor: Version,
     /// The version offered.
     offered: Version,
   },
-  /// The content is not sound.
+  /// The content is invalid.
   Configuration(configuration::Error),
-  /// The version is held with other content.
+  /// The version is held with different content.
   Fork {
     /// The version.
     version: Version,
   },
-  /// It cannot be unpacked.
+  /// The update cannot be unpacked.
   Garbled {
-    /// What is wrong with it.
+    /// Why it cannot be unpacked.
     reason: String,
   },
-  /// It starts from a version or content that is not held.
+  /// The update starts from a version that is not held.
   Gap {
-    /// The version that it starts from.
+    /// The version that the update starts from.
     base: Version,
     /// The version held.
     held: Option<Version>,
   },
-  /// A source holds something that is not a configuration.
+  /// A source holds a value that is not a configuration.
   Unreadable(Unreadable),
-  /// The directory holds something that is no entry of a box.
+  /// The directory holds a value that is not the entry of a box.
   UnreadableEntry(UnreadableEntry),
 }
 
--- a/src/distribution/evacuations.rs
+++ b/src/distribution/evacuations.rs
@@ -1,25 +1,27 @@
 use super::*;
 
-/// Which data halls the operators evacuate, as far as a daemon knows.
+/// The evacuation state of every data hall, as known to a daemon.
 ///
-/// The newest revision counts for each data hall, so news may arrive late, twice and by several ways.
+/// The newest revision wins for each data hall, so updates may arrive late, repeatedly and from
+/// several neighbours.
 #[derive(Clone, Debug, Default)]
 pub struct Evacuations {
   by_hall: BTreeMap<DataHall, Evacuation>,
 }
 
 impl Evacuations {
-  /// Takes in what somebody told. Returns whether it was news.
-  pub fn hear(&mut self, told: &Evacuation) -> bool {
-    let known = self.by_hall.get(&told.data_hall);
-    if known.is_some_and(|known| known.revision >= told.revision) {
+  /// Applies an update if it is newer, and returns whether it was.
+  pub fn hear(&mut self, update: &Evacuation) -> bool {
+    let known = self.by_hall.get(&update.data_hall);
+    if known.is_some_and(|known| known.revision >= update.revision) {
       return false;
     }
-    self.by_hall.insert(told.data_hall.clone(), told.clone());
+    self.by_hall.insert(update.data_hall.clone(), update.clone());
     true
   }
 
-  /// The data halls whose evacuation a read of the whole at `revision` does not show any more.
+  /// Returns the ends of known evacuations that a complete read of the store at `revision` no
+  /// longer shows.
   pub fn ended(&self, shown: &BTreeSet<DataHall>, revision: Revision) -> Vec<Evacuation> {
     let is_ended = |known: &&Evacuation| {
       known.is_evacuated && known.revision < revision && !shown.contains(&known.data_hall)
@@ -28,12 +30,12 @@
     ended.map(|known| Evacuation { is_evacuated: false, revision, ..known.clone() }).collect()
   }
 
-  /// All that is known, for a neighbour.
+  /// Returns all known states, to be sent to a neighbour.
   pub fn all(&self) -> Vec<Evacuation> {
     self.by_hall.values().cloned().collect()
   }
 
-  /// The data halls whose backend servers get no requests.
+  /// Returns the evacuated data halls.
   pub fn halls(&self) -> BTreeSet<DataHall> {
     let evacuated = self.by_hall.values().filter(|known| known.is_evacuated);
     evacuated.map(|known| known.data_hall.clone()).collect()
--- a/src/distribution/event.rs
+++ b/src/distribution/event.rs
@@ -1,51 +1,51 @@
 use super::*;
 
-/// What happens to a [`Distributor`].
+/// An input of a [`Distributor`].
 #[derive(Clone, Debug)]
 pub enum Event {
-  /// This daemon brought a change into the store.
+  /// This daemon wrote a change to the store.
   Accepted {
     /// The version that the change made.
     version: Version,
   },
-  /// The operators' side asks the fleet. Ends with [`Action::Answer`].
+  /// An operator asks the fleet a question. [`Action::Answer`] follows.
   Asked {
     /// The question.
     question: Question,
-    /// Named again in the answer.
+    /// The id of the question, repeated in the answer.
     token: u64,
   },
-  /// The daemon answers [`Action::Consult`].
+  /// The result of [`Action::Consult`].
   Consulted {
     /// The inquiry.
     id: InquiryId,
-    /// What the daemon knows.
+    /// The daemon's reports.
     reports: Vec<Report>,
   },
-  /// The daemon's own backend server said what it serves.
+  /// The daemon's own backend server registered the service that it provides.
   EndpointServes {
     /// The service.
     service: ServiceName,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     slots: u32,
-    /// The version of its software, where it told one.
+    /// The version of its software, if it reported one.
     software: Option<SoftwareVersion>,
-    /// How many of its processes followed the first one.
+    /// Number of times that its process was restarted.
     starts: u32,
   },
   /// The state of the daemon's own backend server changed.
   EndpointState(EndpointState),
-  /// A link ended.
+  /// A link was closed.
   LinkClosed {
     /// The link.
     link: LinkId,
   },
   /// A link could not be opened.
   LinkFailed {
-    /// The box that should be at its other end.
+    /// The box at the intended other end.
     box_id: BoxId,
   },
-  /// A link opened, and the peer proved the fleet key.
+  /// A link was opened, and the peer authenticated with the fleet key.
   LinkOpened {
     /// The link.
     link: LinkId,
@@ -54,26 +54,26 @@
     /// The box at the other end.
     peer: BoxId,
   },
-  /// A message came.
+  /// A message was received.
   Received {
     /// The link.
     link: LinkId,
     /// The message.
     message: Message,
   },
-  /// The daemon tells of the answers of its own backend server, while a roll-out goes on.
+  /// Observations of the daemon's own backend server's answers during a roll-out.
   RolloutObserved(Evidence),
-  /// The daemon found out how requests ended at its own backend server.
+  /// Outcomes of requests that the daemon's own backend server ran.
   RunsEnded(RunOutcome),
   /// The store answered a call.
   StoreAnswered {
     /// The call.
     call: u64,
-    /// The store's newest era by then.
+    /// The store's newest known era at that time.
     era: Era,
     /// The answer.
     result: store::Result<Reply>,
   },
-  /// Time passed. Comes every [`Distributor::TICK_MS`] milliseconds.
+  /// The timer fired, every [`Distributor::TICK_MS`] milliseconds.
   Tick,
 }
--- a/src/distribution/inquiry.rs
+++ b/src/distribution/inquiry.rs
@@ -1,6 +1,7 @@
 use super::*;
 
-/// Inquiries that pass this daemon: each goes on to some neighbours and gathers what comes back.
+/// The pending inquiries of this daemon. Each is forwarded to some neighbours, and their reports
+/// are collected.
 #[derive(Clone, Debug, Default)]
 pub struct Inquiries {
   last_id: InquiryId,
@@ -10,22 +11,22 @@
 #[derive(Clone, Debug)]
 struct Inquiry {
   asker: Asker,
-  consulting: bool,
+  awaits_own_records: bool,
   deadline: Time,
   reports: Vec<Report>,
   waiting: BTreeSet<LinkId>,
 }
 
-/// Who asked.
+/// The source of an inquiry.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) enum Asker {
-  /// A neighbour, by its own id of the inquiry.
+  /// A neighbour's link, with the neighbour's id of the inquiry.
   Neighbour(LinkId, InquiryId),
-  /// The daemon's operators' side.
+  /// An operator of this daemon, with the token of the question.
   Operator(u64),
 }
 
-/// An inquiry that ended.
+/// An inquiry that is complete or timed out.
 pub(super) struct Ended {
   pub(super) asker: Asker,
   pub(super) missing: usize,
@@ -33,35 +34,35 @@
 }
 
 impl Inquiries {
-  /// Daemons that an inquiry passes at most: subscriber, relay, relay, subscriber and one to spare.
+  /// Maximum number of hops of an inquiry: subscriber, relay, relay, subscriber and one spare.
   pub const HOPS_MAX: u8 = 4;
-  /// Inquiries that may be under way; more are answered with nothing.
+  /// Maximum number of pending inquiries; further ones get an empty answer.
   const PENDING_MAX: usize = 64;
-  /// Milliseconds that each hop that is left may take.
-  const PATIENCE_PER_HOP_MS: u64 = 300;
+  /// Timeout for each remaining hop, in milliseconds.
+  const TIMEOUT_PER_HOP_MS: u64 = 300;
 
-  /// Starts an inquiry that waits for `waiting` and, where `consulting`, for the daemon itself.
-  /// Nothing where too many are under way.
+  /// Starts an inquiry that waits for the links `waiting` and, if `awaits_own_records`, for the
+  /// daemon's own records. Returns `None` if too many are pending.
   pub(super) fn start(
     &mut self,
     now: Time,
     asker: Asker,
     hops: u8,
     waiting: BTreeSet<LinkId>,
-    consulting: bool,
+    awaits_own_records: bool,
     reports: Vec<Report>,
   ) -> Option<InquiryId> {
     if self.pending.len() >= Self::PENDING_MAX {
       return None;
     }
     self.last_id = self.last_id.next();
-    let deadline = now.after(Self::PATIENCE_PER_HOP_MS * u64::from(hops + 1));
-    let inquiry = Inquiry { asker, consulting, deadline, reports, waiting };
+    let deadline = now.after(Self::TIMEOUT_PER_HOP_MS * u64::from(hops + 1));
+    let inquiry = Inquiry { asker, awaits_own_records, deadline, reports, waiting };
     self.pending.insert(self.last_id, inquiry);
     Some(self.last_id)
   }
 
-  /// A neighbour answered.
+  /// Handles the answer of a neighbour.
   pub(super) fn answered(&mut self, id: InquiryId, link: LinkId, reports: Vec<Report>) {
     if let Some(inquiry) = self.pending.get_mut(&id).filter(|one| one.waiting.contains(&link)) {
       inquiry.waiting.remove(&link);
@@ -69,25 +70,25 @@
     }
   }
 
-  /// The daemon looked into its own records.
+  /// Handles the reports from the daemon's own records.
   pub(super) fn consulted(&mut self, id: InquiryId, reports: Vec<Report>) {
     if let Some(inquiry) = self.pending.get_mut(&id) {
-      inquiry.consulting = false;
+      inquiry.awaits_own_records = false;
       inquiry.reports.extend(reports);
     }
   }
 
-  /// A link ended: nothing will come from there.
+  /// Drops the inquiries that came by a closed link.
   pub(super) fn link_closed(&mut self, link: LinkId) {
     let from_link =
       |inquiry: &Inquiry| matches!(inquiry.asker, Asker::Neighbour(from, _) if from == link);
     self.pending.retain(|_, inquiry| !from_link(inquiry));
   }
 
-  /// Takes out the inquiries that are complete or out of time.
+  /// Removes and returns the inquiries that are complete or timed out.
   pub(super) fn ended(&mut self, now: Time) -> Vec<Ended> {
     let is_over = |inquiry: &Inquiry| {
-      now >= inquiry.deadline || (inquiry.waiting.is_empty() && !inquiry.consulting)
+      now >= inquiry.deadline || (inquiry.waiting.is_empty() && !inquiry.awaits_own_records)
     };
     let over: Vec<InquiryId> =
       self.pending.iter().filter(|(_, inquiry)| is_over(inquiry)).map(|(id, _)| *id).collect();
--- a/src/distribution/inquiry_id.rs
+++ b/src/distribution/inquiry_id.rs
@@ -1,6 +1,6 @@
 use super::*;
 
 text::number! {
-  /// Names one inquiry between two neighbours.
+  /// Identifies an inquiry between two neighbours.
   InquiryId, "inquiry id"
 }
--- a/src/distribution/link.rs
+++ b/src/distribution/link.rs
@@ -1,44 +1,45 @@
 use super::*;
 
-/// What a daemon knows about one open link.
+/// The state of one open link.
 #[derive(Clone, Debug)]
 pub struct Link {
   /// When the peer applied `version`, in milliseconds since 1970 by the peer's clock.
   pub applied_unix_ms: u64,
-  /// Boxes whose news waits for the next flush.
+  /// Boxes whose updated endpoints are sent with the next flush.
   pub dirty: BTreeSet<BoxId>,
-  /// When the last message came.
+  /// When the last message was received.
   pub heard_at: Time,
-  /// Whether the peer said that it holds a relay slot.
+  /// Whether the peer reported that it holds a relay slot.
   pub is_relay: bool,
-  /// Beats in a row whose endpoint fingerprint differed.
+  /// Consecutive heartbeats whose endpoint fingerprint differed.
   pub mismatches: u32,
-  /// When the link opened.
+  /// When the link was opened.
   pub opened_at: Time,
   /// The box at the other end.
   pub peer: BoxId,
   /// Why the peer last refused an update.
   pub refusal: Option<String>,
-  /// What the peer is to this daemon.
+  /// The role of the peer towards this daemon.
   pub role: LinkRole,
-  /// The last update sent, and when.
+  /// The version of the last update sent, and when it was sent.
   pub sent: Option<(Version, Time)>,
-  /// The version that the peer will hold once it applied what was sent.
+  /// The version that the peer will hold after applying the last update sent, with the prefix of
+  /// its digest.
   pub sent_held: Option<(Version, u32)>,
-  /// Milliseconds since the store confirmed the peer's version, as of its last beat.
+  /// Milliseconds since the store confirmed the peer's version, as of its last heartbeat.
   pub store_age_ms: Option<u64>,
   /// When the whole endpoint table was last sent.
   pub synced_at: Option<Time>,
-  /// Unsound updates that came by this link.
+  /// Number of invalid updates received by this link.
   pub unsound: u32,
-  /// The version that the peer said it holds, with the start of its digest.
+  /// The version that the peer reported to hold, with the prefix of its digest.
   pub version: Option<(Version, u32)>,
-  /// When a whole version was last sent because the peer refused a delta.
+  /// When a whole version was last sent because the peer refused an update.
   pub whole_sent_at: Option<Time>,
 }
 
 impl Link {
-  /// A link just opened to `peer`.
+  /// Creates the state of a link just opened to `peer`.
   pub fn new(now: Time, peer: BoxId, role: LinkRole) -> Self {
     Self {
       applied_unix_ms: 0,
@@ -60,12 +61,13 @@
     }
   }
 
-  /// Whether the link carries configuration and news.
+  /// Whether the roles are agreed and the link carries configuration and endpoint updates.
   pub fn is_settled(&self) -> bool {
     self.role != LinkRole::Pending
   }
 
-  /// Whether an update up to `version` should be sent now.
+  /// Whether an update to `version` should be sent now: the peer lacks it, and it was not sent
+  /// within the last `resend_ms` milliseconds.
   pub fn wants(&self, now: Time, version: Version, resend_ms: u64) -> bool {
     if !self.is_settled() || self.version.is_some_and(|(held, _)| held >= version) {
       return false;
--- a/src/distribution/link_id.rs
+++ b/src/distribution/link_id.rs
@@ -1,6 +1,6 @@
 use super::*;
 
 text::number! {
-  /// Names one open link of this daemon.
+  /// Identifies an open link of this daemon.
   LinkId, "link id"
 }
--- a/src/distribution/link_role.rs
+++ b/src/distribution/link_role.rs
@@ -1,12 +1,12 @@
-/// What the daemon at the other end of a link is to this one.
+/// The role of a link's peer towards this daemon.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LinkRole {
-  /// Gets configuration from this daemon.
+  /// Receives configuration from this daemon.
   Downstream,
-  /// A relay, as this daemon is.
+  /// A relay, like this daemon.
   Mesh,
-  /// Not settled yet.
+  /// Not agreed yet.
   Pending,
-  /// Gives configuration to this daemon.
+  /// Sends configuration to this daemon.
   Upstream,
 }
--- a/src/distribution/message.rs
+++ b/src/distribution/message.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// What two daemons say to each other over a link.
+/// A message between two daemons over a link.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Message {
@@ -9,54 +9,55 @@
     /// The version.
     version: Version,
   },
-  /// Answers an inquiry.
+  /// The answer to an inquiry.
   Answer {
     /// The asker's id of the inquiry.
     id: InquiryId,
-    /// What is known.
+    /// The collected reports.
     reports: Vec<Report>,
   },
   /// An inquiry.
   Ask {
-    /// Daemons that the inquiry may still pass.
+    /// Remaining hops of the inquiry.
     hops: u8,
     /// The asker's id of the inquiry.
     id: InquiryId,
     /// The question.
     question: Question,
   },
-  /// The regular word.
+  /// The periodic heartbeat.
   #[serde(rename = "b")]
   Beat(Beat),
-  /// Which data halls the operators evacuate, or take back.
+  /// Evacuations of data halls that began or ended.
   Evacuations(Vec<Evacuation>),
-  /// What boxes saw of the answers of their backend servers, for those who may decide a roll-out.
+  /// Boxes' observations of their backend servers' answers, for the daemons that may decide a
+  /// roll-out.
   Evidence(Vec<Evidence>),
-  /// News about endpoints.
+  /// Updated endpoints.
   News(Vec<Endpoint>),
-  /// The sender does not serve the receiver: go elsewhere.
+  /// The sender does not serve the receiver, which should try another relay.
   Redirect {
-    /// The highest version that the sender knows the receiver's box, or itself, to have held.
+    /// The highest version that the receiver's box or the sender is known to have held.
     floor: Version,
     /// The relays that the sender knows.
     relays: Relays,
   },
-  /// The sender did not apply an update and asks for the whole.
+  /// The sender did not apply an update and asks for a whole version.
   Refused {
     /// Why.
     reason: String,
   },
   /// The relays changed.
   Relays(Relays),
-  /// Where a roll-out stands.
+  /// The state of a roll-out.
   Rollout(Box<rollout::Word>),
-  /// Asks for configuration and news.
+  /// Asks for configuration and endpoint updates.
   Subscribe(Box<Subscribe>),
-  /// A newer version.
+  /// An update to a newer version.
   Update(PackedUpdate),
   /// The sender serves the receiver from now on.
   Welcome {
-    /// The highest version that the sender knows the receiver's box, or itself, to have held.
+    /// The highest version that the receiver's box or the sender is known to have held.
     floor: Version,
     /// Whether the sender holds a relay slot.
     is_relay: bool,
--- a/src/distribution/mod.rs
+++ b/src/distribution/mod.rs
@@ -1,8 +1,8 @@
-//! How one accepted configuration, and the news about endpoints, reach every daemon.
+//! Distribution of accepted configurations and endpoint updates to every daemon.
 //!
-//! [`Distributor`] is the daemon's one state machine for this: it takes a time and an [`Event`] and
-//! returns [`Action`]s. [`Acceptance`] is the state machine that turns an operator's change into a
-//! new version in the store. `docs/design/distribution.md` weighs the ways.
+//! [`Distributor`] is a state machine that takes a time and an [`Event`] and returns [`Action`]s.
+//! [`Acceptance`] is the state machine that turns an operator's change into a new version in the
+//! store. `docs/design/distribution.md` compares the alternatives.
 
 use super::*;
 
@@ -97,5 +97,5 @@
 mod watcher;
 mod watchers;
 
-/// Result of taking in an update.
+/// Result of applying an update.
 pub type Result<T = (), E = Error> = std::result::Result<T, E>;
--- a/src/distribution/moment.rs
+++ b/src/distribution/moment.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-/// When an event happened, by both clocks of the daemon.
+/// The time of an event by the daemon's two clocks.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Moment {
-  /// By the monotonic clock: for every decision.
+  /// The monotonic clock, used for every decision.
   pub time: Time,
-  /// Milliseconds since 1970: for records that people read, and for nothing else.
+  /// The wall clock in milliseconds since 1970, used only for records that people read.
   pub unix_ms: u64,
 }
--- a/src/distribution/outcome.rs
+++ b/src/distribution/outcome.rs
@@ -1,18 +1,18 @@
 use super::*;
 
-/// How an operators' change ended.
+/// The outcome of a change that an operator submitted.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Outcome {
-  /// The change made this version, now or at an earlier try.
+  /// The change produced this version, in this attempt or an earlier one.
   Accepted {
     /// The version.
     version: Version,
   },
-  /// The change did not take effect and never will.
+  /// The change did not take effect and cannot take effect later.
   Refused(Refused),
   /// The change may have taken effect.
   Unknown {
-    /// What went wrong.
+    /// Why the outcome is unknown.
     reason: String,
   },
 }
@@ -20,18 +20,18 @@
 /// Why a change was refused.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Refused {
-  /// The change itself does not hold.
+  /// The change is invalid.
   Configuration(configuration::Error),
-  /// The store could not be asked in time. The change may be stated again.
+  /// The store did not answer in time. The change may be submitted again.
   Store(store::Error),
-  /// The store is older than what this box holds.
+  /// The store's newest version is older than the one that this box holds.
   StoreBehind {
     /// The version that this box holds.
     held: Version,
     /// The store's newest version.
     newest: Version,
   },
-  /// The store holds something that cannot be read.
+  /// The store holds a value that cannot be read.
   Unreadable {
     /// The key.
     key: Key,
--- a/src/distribution/packed_update.rs
+++ b/src/distribution/packed_update.rs
@@ -2,10 +2,10 @@
 
 use std::io::{Read, Write};
 
-/// An update as it crosses links: compressed, and made once however many neighbours lack it.
+/// A compressed update, as sent over links. It is packed once for all neighbours that need it.
 ///
-/// Routes are much alike: 3,200 of them take 575 KB as CBOR and 75 KB packed, which a link of 10 Mbit/s
-/// carries in 60 ms instead of 460.
+/// Routes compress well: 3,200 of them take 575 KB as CBOR and 75 KB packed, which a link of 10
+/// Mbit/s transfers in 60 ms instead of 460 ms.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct PackedUpdate {
   /// The update as CBOR, deflated.
@@ -17,14 +17,14 @@
 }
 
 impl PackedUpdate {
-  /// How much is tried to make it small. Higher levels save a quarter of the bytes and take three times as
-  /// long, which a tenth of a core feels more than a link of 10 Mbit/s.
+  /// Compression level. Higher levels save a quarter of the bytes but take three times as long; on
+  /// a tenth of a core the time costs more than the bytes do on a link of 10 Mbit/s.
   const LEVEL: u32 = 1;
-  /// Largest update in bytes once unpacked, several times that of the largest configuration a store holds:
-  /// more than that is no update, and would only fill the box's memory.
+  /// Maximum size of an unpacked update in bytes, several times the largest configuration that a
+  /// store can hold. Protects the box's memory against invalid updates.
   const UNPACKED_BYTES_MAX: u64 = 16 << 20;
 
-  /// Packs an update.
+  /// Encodes and compresses an update.
   pub fn pack(update: &Update) -> Self {
     let mut encoder =
       flate2::write::DeflateEncoder::new(Vec::new(), flate2::Compression::new(Self::LEVEL));
@@ -35,7 +35,10 @@
     Self { bytes, version: update.version() }
   }
 
-  /// The update, or why there is none.
+  /// Decompresses and decodes the update.
+  ///
+  /// # Errors
+  /// [`Error::Garbled`] if the bytes are not an update to the stated version.
   pub fn unpack(&self) -> Result<Update> {
     let mut plain = Vec::new();
     let decoder = flate2::read::DeflateDecoder::new(&self.bytes[..]);
@@ -56,12 +59,12 @@
     Ok(update)
   }
 
-  /// Bytes that it takes on a link, without its frame.
+  /// Returns the size of the compressed update in bytes, without the frame of the link.
   pub fn size_bytes(&self) -> usize {
     self.bytes.len()
   }
 
-  /// The version that the update leads to.
+  /// Returns the version that the update leads to.
   pub fn version(&self) -> Version {
     self.version
   }
--- a/src/distribution/profile.rs
+++ b/src/distribution/profile.rs
@@ -1,23 +1,23 @@
 use super::*;
 
-/// What an operator prefers where convergence time and control bytes pull apart.
+/// The operator's preferred trade-off between convergence time and control traffic.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Profile {
-  /// In between.
+  /// Moderate convergence time and control traffic.
   #[default]
   Balanced,
-  /// Fewest control bytes.
+  /// Least control traffic.
   Frugal,
   /// Shortest convergence.
   Prompt,
 }
 
 impl Profile {
-  /// All profiles, for messages about a wrong one.
+  /// All profiles.
   pub const ALL: [Self; 3] = [Self::Balanced, Self::Frugal, Self::Prompt];
 
-  /// The periods that go with the profile.
+  /// Returns the periods of the profile.
   pub fn timing(self) -> Timing {
     match self {
       Self::Balanced => {
--- a/src/distribution/registration.rs
+++ b/src/distribution/registration.rs
@@ -1,64 +1,67 @@
 use super::*;
 
-/// How a daemon keeps its own entry in the store, under a lease.
+/// Maintains the daemon's own entry in the store, under a lease.
 ///
-/// The entry is written again whenever the announced sequence moves on. A write whose answer is lost
-/// is repeated; readers order entries by incarnation and sequence, so a late one harms nothing.
+/// The entry is rewritten whenever the announced sequence increases. A write whose answer is lost
+/// is repeated. Readers order entries by incarnation and sequence, so a late write is harmless.
 #[derive(Clone, Debug, Default)]
 pub struct Registration {
   failures: u32,
   lease: Option<LeaseId>,
   pending: Option<(u64, Pending)>,
   renewed_at: Time,
-  /// When the next call may be made after a failure.
+  /// Earliest time of the next call after a failure.
   retry_at: Time,
-  /// Since when the entry in the store is behind.
+  /// Since when the entry in the store has been outdated.
   stale_since: Option<Time>,
-  /// Whether the entry that the store last confirmed in this life says that the box takes work.
+  /// Whether the last entry that the store confirmed, since the daemon started, states that the box
+  /// accepts requests.
   is_written_live: bool,
   /// The incarnation and sequence that the store last confirmed.
   written: Option<(Incarnation, u64)>,
-  /// The store's revision at that write.
+  /// The store's revision of that write.
   written_at: Revision,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Pending {
   Grant,
-  /// What is written, and whether it says that the box takes work.
+  /// The incarnation and sequence written, and whether the entry states that the box accepts
+  /// requests.
   Put((Incarnation, u64), bool),
   Renew,
 }
 
-/// What the answer to a call means for the registration.
+/// The result of a call of the registration.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Registered {
-  /// The call did its work.
+  /// The call succeeded.
   Done,
-  /// No usable answer came.
+  /// The call failed or got an unexpected answer.
   Failed,
-  /// The lease ended, and the entry with it: announce the box anew.
+  /// The lease and the entry expired, so the box must be announced again.
   Lapsed,
 }
 
 impl Registration {
-  /// Milliseconds for which good news about the box is gathered before it is written.
+  /// Delay before an entry that states that the box accepts requests is written, to combine several
+  /// updates into one write, in milliseconds.
   const GATHER_MS: u64 = 100;
-  /// Shortest pause after a failure, in milliseconds: a few answer times of a healthy store.
+  /// Shortest pause after a failure, in milliseconds: a few response times of a healthy store.
   const RETRY_MIN_MS: u64 = 100;
-  /// Longest pause after a failure, in milliseconds. Entries that lapsed in an outage must be back
+  /// Longest pause after a failure, in milliseconds. Entries that expired in an outage must be back
   /// within two seconds of its end.
   const RETRY_MAX_MS: u64 = 1_000;
 
-  /// Whether an answer to `call` is due.
+  /// Whether the answer to `call` is outstanding.
   pub fn awaits(&self, call: u64) -> bool {
     self.pending.is_some_and(|(pending, _)| pending == call)
   }
 
-  /// The next call, where one is due. `entry` is the daemon's own endpoint; the lease is renewed every
-  /// `renew_ms`. Where the store has no entry yet that says that the box takes work, one that says that it
-  /// does not waits for `first_ms`: a backend server is usually found within that time, and both are one
-  /// write.
+  /// Returns the next call, if one is due. `entry` is the daemon's own endpoint; the lease is
+  /// renewed every `renew_ms`. Until the store has an entry that states that the box accepts
+  /// requests, an entry that states the opposite is delayed by `first_ms`: a backend server is
+  /// usually found within that time, which saves a write.
   pub fn tick(
     &mut self,
     now: Time,
@@ -96,7 +99,8 @@
     None
   }
 
-  /// Milliseconds for which news is gathered. That a box takes no more work is written at once.
+  /// Returns the delay of the next write in milliseconds. That a box stops accepting requests is
+  /// written at once.
   fn gather_ms(&self, state: EndpointState, first_ms: u64) -> u64 {
     match state {
       EndpointState::Live => Self::GATHER_MS,
@@ -105,7 +109,7 @@
     }
   }
 
-  /// Takes in the answer to one of the registration's calls; nothing where the call is not its own.
+  /// Handles the answer to a call; returns `None` if the call was not made by this registration.
   pub fn answered(
     &mut self,
     now: Time,
@@ -140,29 +144,31 @@
     let base_ms = (Self::RETRY_MIN_MS << self.failures.min(4)).min(Self::RETRY_MAX_MS);
     self.failures = self.failures.saturating_add(1);
     self.retry_at = now.after(rng.random_range(base_ms / 2..=base_ms));
-    // A renewal without an answer is repeated at once after the pause.
+    // A failed renewal is repeated right after the pause.
     self.renewed_at = Time(0);
   }
 
-  /// The lease that the entry goes with.
+  /// Returns the lease of the entry.
   pub fn lease(&self) -> Option<LeaseId> {
     self.lease
   }
 
-  /// Whether the entry is gone, where a read of the store at `revision` did not show it.
+  /// Whether the entry was deleted, given that a read of the store at `revision` did not contain
+  /// it.
   pub fn is_missing_at(&self, revision: Revision) -> bool {
     self.written.is_some() && self.written_at < revision
   }
 
-  /// The store forgot the lease, and the entry with it: both are made anew from `at` on. What is under way says
-  /// nothing any more.
+  /// Discards the lease and the entry, which the store has lost, and creates both again from `at`
+  /// on. Answers to outstanding calls are ignored.
   pub fn start_over(&mut self, at: Time) {
-    // An entry that was there is written at once, also where it says that the box takes no work.
+    // An entry that existed is rewritten at once, even if it states that the box accepts no
+    // requests.
     let is_written_live = self.is_written_live || self.written.is_some();
     *self = Self { is_written_live, retry_at: at, ..Self::default() };
   }
 
-  /// A call that is out too long, after the process stood still, counts as failed.
+  /// Makes the renewal of the lease due at once, after a pause of the process.
   pub fn wake(&mut self) {
     self.renewed_at = Time(0);
   }
--- a/src/distribution/relay_slot.rs
+++ b/src/distribution/relay_slot.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-/// One of the places that a data hall has for relays. A lease in the store holds it.
+/// A slot for a relay in a data hall. Its holder has a lease in the store.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct RelaySlot {
   /// The data hall.
   pub data_hall: DataHall,
-  /// Counts the slots of the data hall from 0.
+  /// The index of the slot in the data hall, from 0.
   pub index: u32,
 }
 
--- a/src/distribution/relays.rs
+++ b/src/distribution/relays.rs
@@ -1,21 +1,21 @@
 use super::*;
 
-/// Which box holds which relay slot, as far as known.
+/// The known holders of relay slots.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(transparent)]
 pub struct Relays(pub Vec<(RelaySlot, Peer)>);
 
 impl Relays {
-  /// Boxes that one relay serves.
+  /// Number of boxes that one relay serves.
   pub const SHARE: usize = 32;
 
-  /// Slots that a data hall of `boxes` boxes has: one for every [`Relays::SHARE`] boxes, and two at
-  /// least so that one may die.
+  /// Returns the number of slots of a data hall with `boxes` boxes: one for every [`Relays::SHARE`]
+  /// boxes, and at least two so that one relay may fail.
   pub fn wanted(boxes: usize) -> u32 {
     u32::try_from(boxes.div_ceil(Self::SHARE).max(2)).unwrap_or(u32::MAX)
   }
 
-  /// The lowest free slot among the first `wanted` of a data hall.
+  /// Returns the lowest free slot among the first `wanted` slots of a data hall.
   pub fn free_slot(&self, data_hall: &DataHall, wanted: u32) -> Option<RelaySlot> {
     let slot = |index| RelaySlot { data_hall: data_hall.clone(), index };
     let taken = |slot: &RelaySlot| self.0.iter().any(|(held, _)| held == slot);
@@ -27,13 +27,14 @@
     self.0.iter().any(|(_, peer)| peer.box_id == *box_id)
   }
 
-  /// Relays of a data hall.
+  /// Returns the relays of a data hall.
   pub fn of(&self, data_hall: &DataHall) -> impl Iterator<Item = &Peer> {
     self.0.iter().filter(|(slot, _)| slot.data_hall == *data_hall).map(|(_, peer)| peer)
   }
 
-  /// All relays in the order in which `own` should try them: its own data hall first, and within a
-  /// data hall by a hash that spreads boxes evenly and keeps most of them where they are.
+  /// Returns all relays in the order in which `own` should try them: those of its own data hall
+  /// first, then the others. Rendezvous hashing orders each group, so that boxes are spread evenly
+  /// and most keep their relay when the set of relays changes.
   pub fn ranked_for(&self, own: &Peer) -> Vec<Peer> {
     let mut peers: Vec<Peer> = self.0.iter().map(|(_, peer)| peer.clone()).collect();
     peers.sort();
@@ -46,7 +47,7 @@
     peers
   }
 
-  /// Takes in one key of the store.
+  /// Sets or clears the holder of a slot.
   pub fn set(&mut self, slot: RelaySlot, peer: Option<Peer>) {
     self.0.retain(|(held, _)| *held != slot);
     self.0.extend(peer.map(|peer| (slot, peer)));
--- a/src/distribution/report.rs
+++ b/src/distribution/report.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Report {
-  /// Which version a box applies.
+  /// The version that a box applies.
   Applied {
     /// The box.
     box_id: BoxId,
@@ -12,27 +12,27 @@
     refusal: Option<String>,
     /// When the version was applied, in milliseconds since 1970 by the box's clock.
     unix_ms: u64,
-    /// The version; nothing where the box holds none.
+    /// The version; `None` if the box holds none.
     version: Option<Version>,
   },
-  /// How far the asked box knows another, or itself, to have been.
+  /// The highest version that the asked box knows another box, or itself, to have held.
   Floor {
     /// The version.
     version: Version,
   },
-  /// What one box holds.
+  /// The version that a box holds, and its source.
   Held {
     /// The box.
     box_id: BoxId,
-    /// How the last versions came, oldest first.
+    /// The sources of the last versions, oldest first.
     provenance: Vec<Provenance>,
-    /// What was refused, with when in milliseconds since 1970, oldest first.
+    /// The last refusals, oldest first, each with its time in milliseconds since 1970.
     refusals: Vec<(u64, String)>,
     /// Milliseconds since the store last confirmed the version.
     store_age_ms: Option<u64>,
     /// The version held.
     version: Option<Version>,
   },
-  /// What a box recorded about a request.
+  /// A box's record of a request.
   Request(Box<RequestRecord>),
 }
--- a/src/distribution/subscribe.rs
+++ b/src/distribution/subscribe.rs
@@ -1,24 +1,24 @@
 use super::*;
 
-/// Asks a neighbour for configuration and news.
+/// Asks a neighbour for configuration and endpoint updates.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Subscribe {
-  /// When the asker applied its version, in milliseconds since 1970.
+  /// When the subscriber applied its version, in milliseconds since 1970.
   #[serde(rename = "a")]
   pub applied_unix_ms: u64,
-  /// Whether the asker found no relay, so that any daemon with a configuration should serve it.
+  /// Whether the subscriber found no relay and any daemon with a configuration should serve it.
   #[serde(rename = "d")]
   pub desperate: bool,
-  /// The asker's own endpoint.
+  /// The subscriber's own endpoint.
   #[serde(rename = "e")]
   pub endpoint: Endpoint,
-  /// The fingerprint of the asker's endpoint table.
+  /// The fingerprint of the subscriber's endpoint table.
   #[serde(rename = "f")]
   pub endpoints: u32,
-  /// Whether the asker is a relay itself.
+  /// Whether the subscriber is a relay.
   #[serde(rename = "r")]
   pub relay: bool,
-  /// What the asker holds.
+  /// The version that the subscriber holds, with the prefix of its digest.
   #[serde(rename = "v")]
   pub version: Option<(Version, u32)>,
 }
--- a/src/distribution/timing.rs
+++ b/src/distribution/timing.rs
@@ -1,18 +1,18 @@
 /// The periods of distribution, all in milliseconds.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Timing {
-  /// Between two beats of a link.
+  /// Interval between two heartbeats on a link.
   pub beat_ms: u64,
-  /// The life of a relay's lease. Renewed after a third of it.
+  /// Time to live of a relay's lease, which is renewed after a third of it.
   pub lease_ttl_ms: u64,
-  /// For which news about endpoints is gathered before it is sent.
+  /// Delay before updated endpoints are sent, to combine several into one message.
   pub news_delay_ms: u64,
-  /// For which newer versions are gathered before an update is sent.
+  /// Delay before an update is sent, to combine several new versions into one message.
   pub push_delay_ms: u64,
 }
 
 impl Timing {
-  /// Milliseconds without a word after which a neighbour counts as gone.
+  /// Returns the milliseconds without a message after which a neighbour counts as failed.
   pub fn silence_ms(&self) -> u64 {
     self.beat_ms * 5 / 2
   }
--- a/src/distribution/unreadable_entry.rs
+++ b/src/distribution/unreadable_entry.rs
@@ -1,13 +1,14 @@
 use super::*;
 
-/// An entry of the directory that cannot be read, for another writer left it there. It names no backend server.
+/// An entry of the directory that cannot be read because another writer left it there. It names no
+/// backend server.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct UnreadableEntry {
-  /// Where it stands.
+  /// The key of the entry.
   pub key: Key,
-  /// What is wrong with it.
+  /// Why the entry cannot be read.
   pub reason: String,
-  /// The revision that wrote it; 0 where it names none.
+  /// The revision at which it was written; 0 if unknown.
   pub revision: Revision,
 }
 
--- a/src/distribution/update.rs
+++ b/src/distribution/update.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Brings a daemon to a newer version, whole or not at all.
+/// An update of a daemon to a newer version. It is applied completely or not at all.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Update {
@@ -13,7 +13,7 @@
     /// The changes, oldest first, without gaps.
     changes: Vec<AcceptedChange>,
   },
-  /// Patches that follow one another, from a version that the receiver holds.
+  /// Consecutive patches, the first based on a version that the receiver holds.
   Patches(Vec<Patch>),
   /// A whole version with the changes that follow it.
   Snapshot {
@@ -29,7 +29,7 @@
 }
 
 impl Update {
-  /// The version that the update leads to.
+  /// Returns the version that the update leads to.
   pub fn version(&self) -> Version {
     match self {
       Self::Delta { base, changes, .. } => changes.last().map_or(*base, AcceptedChange::version),
--- a/src/distribution/upstream.rs
+++ b/src/distribution/upstream.rs
@@ -1,9 +1,10 @@
 use super::*;
 
-/// How a daemon that is not a relay finds one and stays with it.
+/// Finds a relay for a daemon that is not one, and stays subscribed to it.
 #[derive(Clone, Debug, Default)]
 pub struct Upstream {
-  /// Failed tries in a row. Forgotten only once a beat comes from a subscribed upstream.
+  /// Consecutive failed attempts. Reset only by a heartbeat from the subscribed upstream, or by a
+  /// new relay during a pause.
   failures: u32,
   phase: Phase,
 }
@@ -23,18 +24,20 @@
 }
 
 impl Upstream {
-  /// Longest pause between two tries.
+  /// Longest base pause between two attempts, in milliseconds.
   const BACKOFF_MAX_MS: u64 = 5_000;
-  /// Shortest pause between two tries.
+  /// Shortest base pause between two attempts, in milliseconds.
   const BACKOFF_MIN_MS: u64 = 50;
-  /// Tries beyond the known relays after which any daemon with a configuration will do.
+  /// Failed attempts beyond the number of known relays after which any daemon with a configuration
+  /// is accepted.
   const DESPERATE_AFTER: usize = 4;
-  /// Milliseconds over which boxes spread that hear of a relay at once.
+  /// Range of the random delay with which boxes that learn of a relay at the same time connect to
+  /// it, in milliseconds.
   const ENCOURAGED_SPREAD_MS: u64 = 100;
-  /// Longest wait for a connection and for the answer to a subscription.
+  /// Timeout of a connection attempt, and of the answer to a subscription, in milliseconds.
   const PATIENCE_MS: u64 = 2_000;
 
-  /// The link to the daemon that serves this one.
+  /// Returns the link to the daemon that serves this one.
   pub fn link(&self) -> Option<LinkId> {
     match self.phase {
       Phase::Subscribed { link } => Some(link),
@@ -42,22 +45,22 @@
     }
   }
 
-  /// Whether the link is the one on which an answer is awaited.
+  /// Whether an answer to a subscription is awaited on `link`.
   pub(super) fn is_asking(&self, link: LinkId) -> bool {
     matches!(self.phase, Phase::Asking { link: asked, .. } if asked == link)
   }
 
-  /// Whether a connection to that box is being opened.
+  /// Whether a connection to `box_id` is being opened.
   pub(super) fn is_connecting(&self, box_id: &BoxId) -> bool {
     matches!(&self.phase, Phase::Connecting { target, .. } if target == box_id)
   }
 
-  /// Whether any daemon with a configuration will do.
+  /// Whether any daemon with a configuration is accepted as the upstream.
   pub(super) fn is_desperate(&self, relays: usize) -> bool {
     self.failures as usize >= relays + Self::DESPERATE_AFTER
   }
 
-  /// The next box to try, where it is time for a try.
+  /// Returns the next box to connect to, if an attempt is due.
   pub(super) fn tick(
     &mut self,
     now: Time,
@@ -89,7 +92,7 @@
     target
   }
 
-  /// Whether a try takes too long; its link, where there is one, should be closed.
+  /// Whether the present attempt timed out. Its link, if there is one, should be closed.
   pub(super) fn is_overdue(&self, now: Time) -> bool {
     match self.phase {
       Phase::Asking { since, .. } | Phase::Connecting { since, .. } => {
@@ -99,7 +102,7 @@
     }
   }
 
-  /// The link of the present try or subscription.
+  /// Returns the link of the present attempt or subscription.
   pub(super) fn any_link(&self) -> Option<LinkId> {
     match self.phase {
       Phase::Asking { link, .. } | Phase::Subscribed { link } => Some(link),
@@ -107,12 +110,12 @@
     }
   }
 
-  /// A subscription was asked for.
+  /// Records that a subscription was requested on `link`.
   pub(super) fn asked(&mut self, now: Time, link: LinkId) {
     self.phase = Phase::Asking { link, since: now };
   }
 
-  /// There is a relay to try: a pause ends early, at a moment that differs from box to box.
+  /// Ends a pause early, after a random delay, because a relay became known.
   pub(super) fn encouraged(&mut self, now: Time, rng: &mut ChaCha8Rng) {
     if let Phase::Idle { next_at } = &mut self.phase {
       self.failures = 0;
@@ -120,17 +123,17 @@
     }
   }
 
-  /// The subscription stands.
+  /// Records that the subscription was accepted.
   pub(super) fn welcomed(&mut self, link: LinkId) {
     self.phase = Phase::Subscribed { link };
   }
 
-  /// The upstream shows that it is alive.
+  /// Resets the count of failures, because the upstream is alive.
   pub(super) fn progressed(&mut self) {
     self.failures = 0;
   }
 
-  /// The try or the subscription ended; the next try follows after a pause.
+  /// Ends the attempt or subscription, and schedules the next attempt after a pause.
   pub(super) fn fail(&mut self, now: Time, rng: &mut ChaCha8Rng) {
     let base_ms = (Self::BACKOFF_MIN_MS << self.failures.min(7)).min(Self::BACKOFF_MAX_MS);
     let pause_ms = rng.random_range(base_ms / 2..=base_ms * 3 / 2);
@@ -138,13 +141,13 @@
     self.phase = Phase::Idle { next_at: now.after(pause_ms) };
   }
 
-  /// The daemon is a relay now and needs no upstream.
+  /// Returns to the initial state, for a daemon that became a relay.
   pub(super) fn rest(&mut self) {
     *self = Self::default();
   }
 }
 
-/// A seed, from the own data hall in half of the cases.
+/// Picks a random seed, half of the time only among those of the own data hall, if there are any.
 fn random_seed(own: &Peer, seeds: &[Peer], rng: &mut ChaCha8Rng) -> Option<Peer> {
   let others: Vec<&Peer> = seeds.iter().filter(|peer| peer.box_id != own.box_id).collect();
   let near: Vec<&Peer> =
--- a/src/distribution/watcher.rs
+++ b/src/distribution/watcher.rs
@@ -1,18 +1,18 @@
 use super::*;
 
-/// How a relay follows the store: one list, then one waiting watch after another.
+/// Follows the store on a relay: lists the watched keys once, then long-polls for changes.
 #[derive(Clone, Debug, Default)]
 pub struct Watcher {
   failures: u32,
-  /// The newest head seen, with its revision.
+  /// The newest head read, with its revision.
   head: Option<(Revision, Head)>,
-  /// The outstanding read of the head alone.
+  /// The outstanding call that reads only the head.
   head_call: Option<u64>,
   listed_at: Time,
   phase: Phase,
-  /// The version for which the head was last read alone.
+  /// The version that last caused such a read.
   reread_for: Version,
-  /// The outstanding read of a snapshot.
+  /// The outstanding call that reads a snapshot.
   snapshot_call: Option<u64>,
 }
 
@@ -31,40 +31,41 @@
   },
 }
 
-/// What the store said.
+/// The content of an answer of the store.
 #[derive(Default)]
 pub(super) struct Seen {
-  /// A head came that was not known.
+  /// Whether the head is newer than the known one.
   pub(super) head: bool,
-  /// Relay slots that changed; all slots where `listed`.
+  /// Changed relay slots; all slots if `listed`.
   pub(super) relays: Vec<(RelaySlot, Option<Peer>)>,
-  /// Whether the store was read whole.
+  /// Whether all watched keys were listed.
   pub(super) listed: bool,
-  /// A snapshot that was asked for.
+  /// The requested snapshot.
   pub(super) snapshot: Option<Configuration>,
-  /// The store answered in order.
+  /// Whether a list or watch succeeded.
   pub(super) confirmed: bool,
 }
 
 impl Watcher {
-  /// Longest pause after failures.
+  /// Longest pause after failures, in milliseconds.
   const BACKOFF_MAX_MS: u64 = 5_000;
-  /// Milliseconds after which the store is read whole again, in case a watch skipped a change.
+  /// Interval after which all watched keys are listed again, in case a watch missed a change, in
+  /// milliseconds.
   const RELIST_MS: u64 = 60_000;
-  /// Milliseconds that one watch waits.
+  /// Time that one watch waits for a change, in milliseconds.
   const WATCH_MS: u64 = 10_000;
 
-  /// Whether the store was read whole, so that a missing head means that there is none.
+  /// Whether the watched keys were listed, so that an unknown head means that the store has none.
   pub(super) fn is_listed(&self) -> bool {
     matches!(self.phase, Phase::Watching { .. })
   }
 
-  /// The newest head seen.
+  /// Returns the newest head read.
   pub fn head(&self) -> Option<&Head> {
     self.head.as_ref().map(|(_, head)| head)
   }
 
-  /// The next call, where one is due.
+  /// Returns the next call, if one is due.
   pub(super) fn tick(&mut self, now: Time, call: u64) -> Option<StoreRequest> {
     match self.phase {
       Phase::Backoff { until } if now < until => None,
@@ -79,8 +80,8 @@
     StoreRequest::List { prefix: keys::watched() }
   }
 
-  /// Reads the head because of a newer version that the watch may have skipped, at most once for
-  /// each version.
+  /// Reads the head because a newer version is known that the watch may have missed, at most once
+  /// for each version.
   pub(super) fn reread(&mut self, call: u64, version: Version) -> Option<StoreRequest> {
     let known = self.head().map(|head| head.version);
     if known >= Some(version) || self.reread_for >= version {
@@ -91,7 +92,7 @@
     Some(StoreRequest::Read { key: keys::head() })
   }
 
-  /// Asks for the snapshot that the head names.
+  /// Returns the call that reads the snapshot that the head names.
   pub(super) fn read_snapshot(&mut self, call: u64) -> Option<StoreRequest> {
     if self.snapshot_call.is_some() {
       return None;
@@ -101,7 +102,7 @@
     Some(StoreRequest::Read { key: keys::snapshot(head.snapshot_version, &head.snapshot_digest) })
   }
 
-  /// Takes in the answer to one of the watcher's calls; nothing where the call is not its own.
+  /// Handles the answer to a call; returns `None` if the call was not made by this watcher.
   pub(super) fn answered(
     &mut self,
     now: Time,
@@ -174,8 +175,8 @@
     seen
   }
 
-  /// Repeated and reordered reports of a key are harmless: heads are ordered by revision, and relay
-  /// slots are set right by the next list.
+  /// Records the entry of a key. Repeated and reordered entries are harmless: heads are ordered by
+  /// revision, and the next list corrects the relay slots.
   fn note(&mut self, key: &Key, entry: Option<&Entry>, seen: &mut Seen) {
     if let Some(slot) = keys::slot_of(key) {
       let peer = entry.and_then(|entry| entry.value.decode().ok());
@@ -207,7 +208,7 @@
     Seen { snapshot: entry.value.decode().ok(), ..Seen::default() }
   }
 
-  /// Forgets all, once the daemon is no relay any more.
+  /// Returns to the initial state, for a daemon that is no longer a relay.
   pub(super) fn rest(&mut self) {
     *self = Self::default();
   }
--- a/src/distribution/watchers.rs
+++ b/src/distribution/watchers.rs
@@ -1,53 +1,54 @@
 use super::*;
 
-/// The boxes that watch the store: the few of each data hall with the fastest links, equal ones by a hash of
-/// their names. All boxes that know the same fleet find the same watchers, without asking anybody.
+/// The boxes that watch the store: the few of each data hall with the fastest links, with ties
+/// broken by a hash of their names. All boxes that know the same fleet compute the same watchers
+/// without communication.
 ///
-/// What one box's news changes costs the same work in a fleet of any size.
+/// Applying an update about one box costs the same in a fleet of any size.
 #[derive(Clone, Debug)]
 pub(super) struct Watchers {
-  /// The boxes of each data hall in the order in which they would watch.
-  halls: BTreeMap<DataHall, BTreeMap<Seat, Peer>>,
-  /// Those of the own data hall.
+  /// The boxes of each data hall, in order of preference as watchers.
+  halls: BTreeMap<DataHall, BTreeMap<Rank, Peer>>,
+  /// The watchers of the own data hall.
   of_hall: BTreeSet<BoxId>,
   own_hall: DataHall,
-  /// All of them, by a hash of their names, so that neighbours in this order seldom share a data hall.
+  /// All watchers, ordered by a hash of their names so that neighbours rarely share a data hall.
   ring: Vec<Peer>,
-  /// Where each box stands in its data hall.
-  seats: BTreeMap<BoxId, (DataHall, Seat)>,
+  /// The data hall and rank of each box.
+  ranks: BTreeMap<BoxId, (DataHall, Rank)>,
 }
 
-/// Where a box stands among those of its data hall: faster links come first, then hashes of names.
+/// The rank of a box in its data hall: by link speed, fastest first, then by hash of the name.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-struct Seat {
+struct Rank {
   link_mbps: Reverse<u32>,
   name_hash: Digest,
 }
 
 impl Watchers {
-  /// Boxes of a data hall that watch the store, so that one may fail.
+  /// Number of watchers in a data hall, so that one may fail.
   const PER_HALL: usize = 2;
 
-  /// What a box of `own_hall` sees that knows no others yet.
+  /// Creates the state of a box of `own_hall` that knows no other boxes yet.
   pub(super) fn new(own_hall: DataHall) -> Self {
     Self {
       halls: BTreeMap::new(),
       of_hall: BTreeSet::new(),
       own_hall,
       ring: Vec::new(),
-      seats: BTreeMap::new(),
+      ranks: BTreeMap::new(),
     }
   }
 
-  /// Takes in the newest news about a box.
+  /// Applies the latest state of a box.
   pub(super) fn note(&mut self, endpoint: &Endpoint) {
     let peer = &endpoint.peer;
     let link_mbps = Reverse(endpoint.link_mbps);
-    let known = self.seats.get(&peer.box_id);
-    let is_same = known.is_some_and(|(hall, seat)| {
+    let known = self.ranks.get(&peer.box_id);
+    let is_same = known.is_some_and(|(hall, rank)| {
       *hall == peer.data_hall
-        && seat.link_mbps == link_mbps
-        && self.halls[hall].get(seat) == Some(peer)
+        && rank.link_mbps == link_mbps
+        && self.halls[hall].get(rank) == Some(peer)
     });
     let is_there = !endpoint.state.is_gone();
     let changes_nothing = if is_there { is_same } else { known.is_none() };
@@ -57,87 +58,90 @@
     let left = self.leave(&peer.box_id);
     let came = is_there && self.join(peer, link_mbps);
     if left || came {
-      self.choose();
+      self.recompute();
     }
   }
 
-  /// A box takes its seat. Returns whether it watches from then on.
+  /// Adds a box. Returns whether it is a watcher.
   fn join(&mut self, peer: &Peer, link_mbps: Reverse<u32>) -> bool {
-    let seat = Seat { link_mbps, name_hash: hash(&peer.box_id) };
+    let rank = Rank { link_mbps, name_hash: hash(&peer.box_id) };
     let hall = self.halls.entry(peer.data_hall.clone()).or_default();
-    hall.insert(seat, peer.clone());
-    let watches = hall.keys().take(Self::PER_HALL).any(|one| *one == seat);
-    self.seats.insert(peer.box_id.clone(), (peer.data_hall.clone(), seat));
+    hall.insert(rank, peer.clone());
+    let watches = hall.keys().take(Self::PER_HALL).any(|one| *one == rank);
+    self.ranks.insert(peer.box_id.clone(), (peer.data_hall.clone(), rank));
     watches
   }
 
-  /// A box gives up its seat. Returns whether it watched.
+  /// Removes a box. Returns whether it was a watcher.
   fn leave(&mut self, box_id: &BoxId) -> bool {
-    let Some((hall, seat)) = self.seats.remove(box_id) else {
+    let Some((hall, rank)) = self.ranks.remove(box_id) else {
       return false;
     };
     let Some(boxes) = self.halls.get_mut(&hall) else {
       return false;
     };
-    let watched = boxes.keys().take(Self::PER_HALL).any(|one| *one == seat);
-    boxes.remove(&seat);
+    let watched = boxes.keys().take(Self::PER_HALL).any(|one| *one == rank);
+    boxes.remove(&rank);
     if boxes.is_empty() {
       self.halls.remove(&hall);
     }
     watched
   }
 
-  /// Finds the watchers anew.
-  fn choose(&mut self) {
+  /// Recomputes the watchers.
+  fn recompute(&mut self) {
     let watchers = self.halls.values().flat_map(|boxes| boxes.iter().take(Self::PER_HALL));
-    let mut ring: Vec<(&Seat, &Peer)> = watchers.collect();
-    ring.sort_by_key(|(seat, _)| seat.name_hash);
+    let mut ring: Vec<(&Rank, &Peer)> = watchers.collect();
+    ring.sort_by_key(|(rank, _)| rank.name_hash);
     self.ring = ring.into_iter().map(|(_, peer)| peer.clone()).collect();
     let of_hall = self.ring.iter().filter(|peer| peer.data_hall == self.own_hall);
     self.of_hall = of_hall.map(|peer| peer.box_id.clone()).collect();
   }
 
-  /// Whether a box watches the store for the own data hall.
+  /// Whether a box is a watcher of the own data hall.
   pub(super) fn is_of_hall(&self, box_id: &BoxId) -> bool {
     self.of_hall.contains(box_id)
   }
 
-  /// The watchers of the own data hall.
+  /// Returns the watchers of the own data hall.
   pub(super) fn of_hall(&self) -> impl Iterator<Item = &BoxId> {
     self.of_hall.iter()
   }
 
-  /// All others in the order in which a watcher would hear from them, the usual one first. Where each hears
-  /// from its first one, what any of them learns reaches all.
+  /// Returns all other watchers in the order in which a watcher prefers them as sources. If each
+  /// receives updates from its first choice, they form a ring, and every update reaches all of
+  /// them.
   pub(super) fn after(&self, own: &BoxId) -> impl Iterator<Item = &Peer> {
     let own_at = self.position(own).map_or(0, |position| position + 1);
     let (before, behind) = self.ring.split_at(own_at.min(self.ring.len()));
     behind.iter().chain(before).filter(move |peer| peer.box_id != *own)
   }
 
-  /// Milliseconds until a watcher's turn, where each has a `turn_ms` of its own in a round of all of them.
+  /// Returns the milliseconds until a watcher's next turn, in a round that gives each watcher a
+  /// turn of `turn_ms`.
   pub(super) fn until_turn_ms(&self, own: &BoxId, unix_ms: u64, turn_ms: u64) -> Option<u64> {
     let position = self.position(own)? as u64;
     let round_ms = turn_ms * self.ring.len() as u64;
     Some((position * turn_ms + round_ms - unix_ms % round_ms) % round_ms)
   }
 
-  /// Milliseconds of a round in which each watcher has a turn.
+  /// Returns the length in milliseconds of a round that gives each watcher a turn of `turn_ms`.
   pub(super) fn round_ms(&self, turn_ms: u64) -> u64 {
     turn_ms * self.ring.len() as u64
   }
 
-  /// Whether a box is one of all watchers.
+  /// Whether a box is a watcher of any data hall.
   pub(super) fn is_one(&self, box_id: &BoxId) -> bool {
     self.position(box_id).is_some()
   }
 
-  /// How many watchers there are.
+  /// Returns the number of watchers.
   pub(super) fn count(&self) -> u64 {
     self.ring.len() as u64
   }
 
-  /// How many watchers come before a box when it is about a service. Each service begins at another one.
+  /// Returns the number of watchers before a box in the order for a service, or `None` if the box
+  /// is not a watcher. Each service starts at a watcher given by the hash of its name.
   pub(super) fn rank(&self, box_id: &BoxId, service: &ServiceName) -> Option<u64> {
     let position = self.position(box_id)? as u64;
     let first = u64::from(Digest::of(service.as_str().as_bytes()).prefix()) % self.count();
--- a/tests/distribution_fuzz.rs
+++ b/tests/distribution_fuzz.rs
@@ -1,4 +1,4 @@
-//! Histories of a fleet under faults, against a simple oracle.
+//! Random histories of a fleet under faults, checked against a simple oracle.
 
 mod support;
 
@@ -15,15 +15,15 @@
   },
 };
 
-/// Histories of each fuzz test.
+/// Number of histories in each fuzz test.
 const HISTORIES: u64 = 2_000;
 
-/// Steps of one history.
+/// Number of steps in one history.
 const STEPS: usize = 25;
 
-/// Virtual milliseconds within which a fleet converges once faults end: the store is read whole once
-/// a minute, in case every watch skipped a change whose writer died before it could tell; then a
-/// lease runs out, a slot is taken, and subscribers find their way.
+/// Virtual milliseconds within which a fleet converges after faults end. If every watch missed a
+/// change whose writer crashed before it could announce it, the next full read of the store, once a
+/// minute, finds it. Then a lease expires, a relay slot is acquired, and the subscribers connect.
 const CONVERGENCE_MS: u64 = 90_000;
 
 fn operations(u: &mut Unstructured) -> Result<Vec<Operation>> {
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_fleet_under_faults_stays_whole_and_converges() {
+fn a_fleet_under_faults_keeps_its_history_and_converges() {
   let mut acknowledged = 0;
   histories(HISTORIES, |u| {
     let mut world = started(u)?;
--- a/tests/distribution_memory.rs
+++ b/tests/distribution_memory.rs
@@ -1,4 +1,5 @@
-//! What a box that lost its memory, or a store that lost its content, may not bring about.
+//! A box that restarts without memory, or a store that is restored to an older state, must not move
+//! any box back to an older version.
 
 mod support;
 
@@ -18,7 +19,7 @@
   world.boxes[index].distributor.as_ref()?.catalog().version()
 }
 
-/// A settled fleet of one data hall that holds version 1.
+/// Returns a converged fleet of one data hall that holds version 1.
 fn settled(boxes: usize) -> World {
   let mut world = World::new(boxes, 1, 3);
   world.run_until(SETTLE_MS / 2);
@@ -29,10 +30,10 @@
   world
 }
 
-/// Boxes 3 and 4 missed version 2. Box 2 held it, restarts without memory and without the store, and
-/// reaches only those two: it may not go back to version 1.
+/// Boxes 3 and 4 missed version 2. Box 2 held it, restarts without memory, and reaches only those
+/// two and not the store. It must not go back to version 1.
 #[test]
-fn a_restarted_box_among_stale_ones_waits_for_a_better_source() {
+fn a_restarted_box_among_stale_ones_waits_for_a_newer_source() {
   let mut world = settled(5);
   for one in [0, 1, 2] {
     world.faults.blocked.extend([(one, 3), (one, 4)]);
@@ -48,7 +49,11 @@
   world.faults.store_cut = vec![2, 3, 4];
   world.start(2);
   world.run_until(world.now + SETTLE_MS);
-  assert_eq!(version_of(&world, 2), None, "two of four others do not suffice");
+  assert_eq!(
+    version_of(&world, 2),
+    None,
+    "two of the four other boxes are too few to confirm a version"
+  );
 
   world.heal();
   world.run_until(world.now + 2 * SETTLE_MS);
@@ -67,9 +72,9 @@
   assert_eq!(version_of(&world, 4), Some(Version(1)));
 }
 
-/// The relays die while the store is down: any box with a configuration serves the others.
+/// The relays crash while the store is down. Any box with a configuration then serves the others.
 #[test]
-fn boxes_join_from_each_other_when_all_relays_died_with_the_store() {
+fn boxes_join_from_each_other_when_all_relays_and_the_store_are_down() {
   let mut world = settled(6);
   world.faults.store_down = true;
   let is_relay = |world: &World, index: usize| {
@@ -89,8 +94,8 @@
   assert_eq!(version_of(&world, other), Some(Version(1)));
 }
 
-/// The store comes back with older content: no box follows it, and a restarted box gets the newer
-/// version from the others.
+/// The store is restored to an older state. No box goes back to it, and a restarted box gets the
+/// newer version from the others.
 #[test]
 fn a_store_restored_to_an_older_state_moves_nobody_back() {
   let mut world = settled(5);
@@ -108,10 +113,10 @@
     assert_eq!(version_of(&world, index), Some(Version(2)), "box {index}");
   }
   let behind = world.boxes.iter().filter_map(|one| one.distributor.as_ref()?.status().store_behind);
-  assert!(behind.count() > 0, "the relays say that the store is behind");
+  assert!(behind.count() > 0, "no relay reports that the store is behind");
 }
 
-/// A change stated on a box that holds more than the store is refused and leaves nothing behind.
+/// A change on a box that holds a newer version than the store is refused and writes nothing.
 #[test]
 fn a_change_on_a_store_that_is_behind_is_refused() {
   let mut world = settled(4);
--- a/tests/distribution_rest.rs
+++ b/tests/distribution_rest.rs
@@ -1,13 +1,13 @@
-//! What a fleet costs: at rest, per change, and when all of it starts at once.
+//! Messages and store calls of a fleet: idle, per change, and when all boxes start at once.
 
 mod support;
 
 use support::world::{World, put_policy, put_service};
 
-/// Virtual milliseconds within which a fleet settles.
+/// Virtual milliseconds within which a fleet converges.
 const SETTLE_MS: u64 = 30_000;
 
-/// Virtual milliseconds over which a fleet is watched.
+/// Virtual milliseconds over which a fleet is observed.
 const WATCH_MS: u64 = 60_000;
 
 fn settled(boxes: usize, data_halls: usize) -> World {
@@ -20,16 +20,17 @@
 }
 
 #[test]
-fn a_fleet_at_rest_sends_no_news() {
+fn an_idle_fleet_sends_no_updates() {
   for boxes in [6, 40, 120] {
     let mut world = settled(boxes, 3);
     let before = world.news_sent;
     world.run_until(SETTLE_MS + WATCH_MS);
-    assert_eq!(world.news_sent, before, "{boxes} boxes sent news at rest");
+    assert_eq!(world.news_sent, before, "{boxes} idle boxes sent updates");
   }
 }
 
-/// The relays have the change from the store; everybody else is sent it once, and nobody sends it back.
+/// Relays read the change from the store. Every other box is sent it exactly once, and no box sends
+/// it back.
 #[test]
 fn a_change_is_sent_once_to_each_subscriber() {
   let mut world = settled(40, 2);
@@ -41,9 +42,10 @@
   assert_eq!(world.news_sent - before, subscribers as u64);
 }
 
-/// Every relay watches with one waiting call and renews one lease; nobody else calls the store.
+/// An idle relay makes one long-polling watch and renews one lease. Other boxes do not call the
+/// store.
 #[test]
-fn calls_to_the_store_at_rest_grow_with_relays_and_not_with_boxes() {
+fn store_calls_of_an_idle_fleet_grow_with_relays_and_not_with_boxes() {
   let calls_per_relay = |boxes: usize| {
     let mut world = settled(boxes, 3);
     let before = world.store_calls;
@@ -65,7 +67,7 @@
   assert!(many < 3 * few + 120, "{few} calls of 12 boxes, {many} of 120");
 }
 
-/// The design's size: 740 boxes in 6 data halls of 3 regions that are 40 ms apart.
+/// The size that the design aims at: 740 boxes in 6 data halls of 3 regions, 40 ms apart.
 #[test]
 fn a_change_reaches_740_boxes_in_3_regions_within_4_virtual_seconds() {
   const LIMIT_MS: u64 = 4_000;
--- a/tests/foreign_entries.rs
+++ b/tests/foreign_entries.rs
@@ -1,7 +1,8 @@
-//! Entries of the directory that another writer left or spoiled.
+//! Directory entries that another writer created or overwrote with an unreadable value.
 //!
-//! Protected: such an entry names no backend server, and hides none. The box whose entry was overwritten is not
-//! used by what was known of it before; it writes its entry again, and is used again once it has said so.
+//! Such an entry names no backend server and hides no other box. A box whose entry was overwritten
+//! gets no requests on the strength of its earlier entry. It rewrites the entry and is then used
+//! again.
 
 mod support;
 
@@ -9,24 +10,24 @@
 
 const BOXES: usize = 12;
 
-/// Milliseconds until every watcher has read the directory, and what it found is known everywhere.
+/// Virtual milliseconds until every watcher has read the directory and all boxes have the result.
 const READ_MS: u64 = 14_000;
 
 const NOBODY: [usize; 0] = [];
 
 fn fleet() -> Followers {
   let fleet = Followers::at_rest(BOXES);
-  assert_eq!(unseen(&fleet, 0), NOBODY);
+  assert_eq!(boxes_that_ignore(&fleet, 0), NOBODY);
   fleet
 }
 
-/// Boxes that do not hold another one for a box that takes work.
-fn unseen(fleet: &Followers, other: usize) -> Vec<usize> {
+/// Returns the boxes that do not regard `other` as accepting requests.
+fn boxes_that_ignore(fleet: &Followers, other: usize) -> Vec<usize> {
   fleet.lacking(BOXES, |fleet, index| fleet.sees_live(index, other))
 }
 
-/// Values that are no entry of the box whose key they are given.
-fn spoiled(fleet: &mut Followers, index: usize) -> Vec<Value> {
+/// Returns values that are not valid entries of box `index`.
+fn corrupt_entries(fleet: &mut Followers, index: usize) -> Vec<Value> {
   let whole = fleet.entry_of(index).expect("an entry");
   let whole = whole.text().expect("text").to_string();
   let mut values: Vec<Value> = ["", "null", "[]", "{}", "7", "\u{0}"].map(Value::from).into();
@@ -46,13 +47,13 @@
 }
 
 #[test]
-fn a_box_whose_entry_was_spoiled_writes_it_again_and_is_used_again() {
+fn a_box_with_a_corrupt_entry_rewrites_it_and_is_used_again() {
   let mut fleet = fleet();
-  for value in spoiled(&mut fleet, 0) {
+  for value in corrupt_entries(&mut fleet, 0) {
     fleet.write_foreign("mesh/boxes/box-0", value.clone());
     fleet.run(READ_MS);
-    assert_eq!(unseen(&fleet, 0), NOBODY, "{value:?}: {:#?}", fleet.logged);
-    assert!(fleet.entry_of(0).is_some_and(|entry| entry != value), "{value:?} still stands");
+    assert_eq!(boxes_that_ignore(&fleet, 0), NOBODY, "{value:?}: {:#?}", fleet.logged);
+    assert!(fleet.entry_of(0).is_some_and(|entry| entry != value), "{value:?} was not replaced");
     assert!(
       fleet.unreadable.iter().any(|(_, one)| one.key.as_str().ends_with("box-0")),
       "{value:?}"
@@ -61,25 +62,25 @@
   }
 }
 
-/// What was known of the box before says nothing any more.
+/// The state that was known before the entry was overwritten must not be used.
 #[test]
-fn a_box_whose_entry_is_spoiled_is_not_used_while_it_says_nothing() {
+fn a_box_with_a_corrupt_entry_is_not_used_until_it_rewrites_the_entry() {
   let mut fleet = fleet();
   fleet.frozen.insert(Followers::box_id(0));
   fleet.write_foreign("mesh/boxes/box-0", Value::unreadable("no text"));
   fleet.run(3_500);
   let all_others: Vec<usize> = (1..BOXES).collect();
   assert_eq!(
-    unseen(&fleet, 0).into_iter().filter(|index| *index > 0).collect::<Vec<_>>(),
+    boxes_that_ignore(&fleet, 0).into_iter().filter(|index| *index > 0).collect::<Vec<_>>(),
     all_others
   );
   fleet.frozen.clear();
   fleet.run(READ_MS);
-  assert_eq!(unseen(&fleet, 0), NOBODY, "{:#?}", fleet.logged);
+  assert_eq!(boxes_that_ignore(&fleet, 0), NOBODY, "{:#?}", fleet.logged);
 }
 
 #[test]
-fn a_foreign_entry_hides_no_box_that_comes_later() {
+fn a_foreign_entry_hides_no_box_that_starts_later() {
   let mut fleet = fleet();
   for (index, key) in
     ["mesh/boxes/", "mesh/boxes/foreign", "mesh/boxes/a b/c", ""].iter().enumerate()
@@ -93,9 +94,9 @@
   }
 }
 
-/// One that goes on spoiling an entry costs a bounded number of writes and lines.
+/// A writer that keeps corrupting an entry causes a bounded number of writes and log lines.
 #[test]
-fn an_entry_that_is_spoiled_again_and_again_costs_little() {
+fn an_entry_that_is_corrupted_repeatedly_costs_few_calls() {
   let mut fleet = fleet();
   let before = fleet.store_tenths;
   fleet.run(30_000);
@@ -105,7 +106,10 @@
     fleet.write_foreign("mesh/boxes/box-0", Value::unreadable("no text"));
     fleet.run(100);
   }
-  let spoiled = fleet.store_tenths - before;
-  assert!(spoiled < at_rest + 900, "{spoiled} tenths of a call in 30 s, {at_rest} at rest");
+  let under_corruption = fleet.store_tenths - before;
+  assert!(
+    under_corruption < at_rest + 900,
+    "{under_corruption} tenths of a call in 30 s, {at_rest} at rest"
+  );
   assert!(fleet.unreadable.len() < 120, "{} lines", fleet.unreadable.len());
 }
--- a/tests/support/world.rs
+++ b/tests/support/world.rs
@@ -319,7 +319,7 @@
     let life = self.boxes[index].life;
     let deadline = Time(self.now + 5_000);
     let mut acceptance = Acceptance::new(change, Some(held), deadline, self.rng.random());
-    let step = acceptance.resumed();
+    let step = acceptance.resume();
     self.changes.push(SimChange { acceptance, at: (index, life), id, is_ended: false });
     self.carry_change(self.changes.len() - 1, step);
   }
@@ -467,7 +467,7 @@
       Happening::Event { event, index, life } => self.handle(index, life, event),
       Happening::Execute { answers, caller, request } => self.execute(answers, caller, request),
       Happening::Resume { change } => {
-        let step = self.changes[change].acceptance.resumed();
+        let step = self.changes[change].acceptance.resume();
         self.carry_change(change, step);
       }
       Happening::Tick { index, life } => {
