--- a/src/administration/error.rs
+++ b/src/administration/error.rs
@@ -11,7 +11,7 @@
   /// Too many statements at once.
   Busy,
   /// The change does not hold.
-  Change(crate::distribution::Refused),
+  Change(crate::distribution::RefusalReason),
   /// The statement is not understood or not allowed.
   Language(language::Error),
   /// This box holds no configuration yet.
--- a/src/daemon/daemon.rs
+++ b/src/daemon/daemon.rs
@@ -194,7 +194,7 @@
   // Gathering takes two fifths of what the platform allows a change until it is in force; links and
   // slow calls need the rest.
   let gathering = settings.deployment.as_ref().map(|deployment| deployment.apply_ms * 2 / 5);
-  let timing = Timing { news_delay_ms: gathering.unwrap_or(timing.news_delay_ms), ..timing };
+  let timing = Timing { endpoint_delay_ms: gathering.unwrap_or(timing.endpoint_delay_ms), ..timing };
   // Requests find out by themselves where a box is gone, so its entry may stay for a while.
   let lease_ttl_ms = gathering.map_or(timing.lease_ttl_ms, |_| FOLLOWER_LEASE_MS);
   let timing = Timing { lease_ttl_ms, ..timing };
--- a/src/distribution/acceptance.rs
+++ b/src/distribution/acceptance.rs
@@ -88,14 +88,14 @@
   fn head_read(&mut self, now: Time, result: store::Result<Reply>) -> AcceptanceStep {
     let entry = match result {
       Ok(Reply::Entry { entry, .. }) => entry,
-      Ok(_) => return refused(Refused::Unreadable { key: keys::head() }),
+      Ok(_) => return refused(RefusalReason::Unreadable { key: keys::head() }),
       Err(err) => return self.retry(now, err),
     };
     let Some(entry) = entry else {
       return self.start_history();
     };
     let Ok(head) = entry.value.decode::<Head>() else {
-      return refused(Refused::Unreadable { key: keys::head() });
+      return refused(RefusalReason::Unreadable { key: keys::head() });
     };
     if let Some(version) = head.version_of(&self.change.id) {
       return AcceptanceStep::Done(Outcome::Accepted { version });
@@ -128,7 +128,7 @@
 
   fn refuse_if_store_behind(&self, newest: Version) -> Option<AcceptanceStep> {
     let held = self.held.as_ref().map(|held| held.version).filter(|held| *held > newest)?;
-    Some(refused(Refused::StoreBehind { held, newest }))
+    Some(refused(RefusalReason::StoreBehind { held, newest }))
   }
 
   /// Builds the store's newest configuration from the held one and the changes in the head.
@@ -157,7 +157,7 @@
     let base = snapshot.and_then(|snapshot| after_tail(&snapshot, &head));
     match base.filter(|base| base.digest() == head.digest()) {
       Some(base) => self.propose(&base, Some((head, revision))),
-      None => refused(Refused::Unreadable { key: entry.key.clone() }),
+      None => refused(RefusalReason::Unreadable { key: entry.key.clone() }),
     }
   }
 
@@ -169,7 +169,7 @@
     };
     let proposal = match Proposal::new(base, accepted, head) {
       Ok(proposal) => proposal,
-      Err(err) => return refused(Refused::Configuration(err)),
+      Err(err) => return refused(RefusalReason::Configuration(err)),
     };
     if let Some((key, value)) = proposal.snapshot.clone() {
       self.phase = Phase::WritingSnapshot(proposal);
@@ -184,7 +184,7 @@
     if self.in_doubt.is_some() {
       return AcceptanceStep::Done(Outcome::Unknown { reason: err.to_string() });
     }
-    refused(Refused::Configuration(err))
+    refused(RefusalReason::Configuration(err))
   }
 
   fn snapshot_written(
@@ -252,7 +252,7 @@
     if self.in_doubt.is_some() {
       return AcceptanceStep::Done(Outcome::Unknown { reason: err.to_string() });
     }
-    refused(Refused::Store(err))
+    refused(RefusalReason::Store(err))
   }
 
   fn pause(&mut self) -> AcceptanceStep {
@@ -327,6 +327,6 @@
   }
 }
 
-fn refused(refused: Refused) -> AcceptanceStep {
+fn refused(refused: RefusalReason) -> AcceptanceStep {
   AcceptanceStep::Done(Outcome::Refused(refused))
 }
--- a/src/distribution/action.rs
+++ b/src/distribution/action.rs
@@ -14,8 +14,6 @@
   },
   /// Put a newer configuration in force.
   Apply(Arc<Configuration>),
-  /// A version newer than the held one is known to exist, so the held configuration may be stale.
-  Behind(Version),
   /// Call the store and return the answer as [`Event::StoreAnswered`].
   CallStore {
     /// The id of the call, repeated in the answer.
@@ -28,25 +26,27 @@
     /// The link.
     link: LinkId,
   },
-  /// Query the daemon's own records and return [`Event::Consulted`].
-  Consult {
-    /// The inquiry.
-    id: InquiryId,
-    /// The question.
-    question: Question,
-  },
   /// The endpoint table changed.
   EndpointsChanged,
   /// These endpoints were updated in the endpoint table.
-  EndpointsNews(Vec<Endpoint>),
+  EndpointsUpdated(Vec<Endpoint>),
   /// The set of evacuated data halls changed.
   EvacuationsChanged(BTreeSet<DataHall>),
   /// Write a line to the log.
   Log(String),
+  /// A version newer than the held one is known to exist, so the held configuration may be stale.
+  NewerVersionKnown(Version),
   /// Open a link; [`Event::LinkOpened`] or [`Event::LinkFailed`] follows.
   OpenLink(Peer),
+  /// Query the daemon's own records and return [`Event::RecordsQueried`].
+  QueryRecords {
+    /// The inquiry.
+    id: InquiryId,
+    /// The question.
+    question: Question,
+  },
   /// Report to the operators that a configuration in the store was refused.
-  Refuse {
+  ReportRefusal {
     /// Why it was refused.
     reason: String,
     /// Its version, if it could be read.
@@ -62,7 +62,7 @@
     message: Message,
   },
   /// Report to the operators that the store was restored from a backup, which began this era.
-  StoreWentBack(Era),
+  StoreRestored(Era),
   /// Report to the operators that the directory holds an entry that cannot be read.
   UnreadableEntry(UnreadableEntry),
 }
--- a/src/distribution/catalog.rs
+++ b/src/distribution/catalog.rs
@@ -78,13 +78,13 @@
   }
 
   /// Records a refused update, for operators who ask why a box holds its version.
-  pub fn note_refusal(&mut self, unix_ms: u64, err: Error) {
+  pub fn record_refusal(&mut self, unix_ms: u64, err: Error) {
     push_bounded(&mut self.refusals, (unix_ms, err), Self::RECORDS_MAX);
   }
 
   /// Applies an update, or changes nothing and returns the reason. Refusals are recorded, except
   /// of the version already held.
-  pub fn take(&mut self, update: Update, from: Option<BoxId>, unix_ms: u64) -> Result {
+  pub fn apply_update(&mut self, update: Update, from: Option<BoxId>, unix_ms: u64) -> Result {
     let offered = update.version();
     let outcome = self.check_forward(offered).and_then(|()| match update {
       Update::Delta { base, base_digest, changes } => self.take_delta(base, base_digest, changes),
@@ -97,7 +97,7 @@
       if matches!(err, Error::Backwards { held, offered } if held == offered) {
         return Err(err);
       }
-      self.note_refusal(unix_ms, err.clone());
+      self.record_refusal(unix_ms, err.clone());
       return Err(err);
     }
     let provenance = Provenance { applied_unix_ms: unix_ms, from, version: offered };
@@ -134,11 +134,11 @@
   }
 
   /// Applies a whole version from a source, and retains the patch from the held version to it.
-  pub fn take_whole(&mut self, configuration: Configuration, unix_ms: u64) -> Result {
+  pub fn apply_whole(&mut self, configuration: Configuration, unix_ms: u64) -> Result {
     let version = configuration.version;
     let checked = self.check_forward(version).and_then(|()| Ok(configuration.validate()?));
     if let Err(err) = checked {
-      self.note_refusal(unix_ms, err.clone());
+      self.record_refusal(unix_ms, err.clone());
       return Err(err);
     }
     let digest = configuration.digest();
--- a/src/distribution/distributor/asking.rs
+++ b/src/distribution/distributor/asking.rs
@@ -34,7 +34,7 @@
       return;
     };
     if consulting {
-      self.act(Action::Consult { id, question: question.clone() });
+      self.act(Action::QueryRecords { id, question: question.clone() });
     }
     for link in targets {
       let ask = Message::Ask { hops: hops.saturating_sub(1), id, question: question.clone() };
--- a/src/distribution/distributor/linking.rs
+++ b/src/distribution/distributor/linking.rs
@@ -107,7 +107,7 @@
 
   pub(super) fn close_silent_links(&mut self) {
     let silence_ms = self.identity.timing.silence_ms();
-    let silent = |link: &Link| self.now.time.since_ms(link.heard_at) > silence_ms;
+    let silent = |link: &Link| self.now.time.since_ms(link.last_received_at) > silence_ms;
     let closing: Vec<LinkId> =
       self.links.iter().filter(|(_, link)| silent(link)).map(|(id, _)| *id).collect();
     for link in closing {
@@ -124,9 +124,9 @@
   pub(super) fn subscribe(&mut self, link: LinkId) {
     let subscribe = Subscribe {
       applied_unix_ms: self.applied_unix_ms(),
-      desperate: self.upstream.is_desperate(self.relays.0.len()),
+      accepts_any_daemon: self.upstream.accepts_any_daemon(self.relays.0.len()),
       endpoint: self.own.clone(),
-      endpoints: self.endpoints.fingerprint(),
+      endpoints_fingerprint: self.endpoints.fingerprint(),
       relay: self.is_relay(),
       version: self.catalog.held(),
     };
@@ -157,7 +157,7 @@
     if !self.upstream.is_asking(link) {
       return;
     }
-    self.upstream.welcomed(link);
+    self.upstream.subscribed(link);
     self.set_role(link, LinkRole::Upstream);
     self.own.relay = Some(peer);
     self.announce();
--- a/src/distribution/distributor/mod.rs
+++ b/src/distribution/distributor/mod.rs
@@ -4,8 +4,8 @@
 
 use super::{
   election::{Hall, Step},
-  inquiry::Asker,
-  watcher::Seen,
+  inquiries::Asker,
+  watcher::WatchResult,
 };
 
 mod asking;
@@ -72,7 +72,7 @@
 
 impl Distributor {
   /// Links that a daemon serves at most, twice the share of a relay.
-  const DOWNSTREAM_MAX: usize = 2 * Relays::SHARE;
+  const DOWNSTREAM_MAX: usize = 2 * Relays::BOXES_PER_RELAY;
   /// Milliseconds between two ticks.
   pub const TICK_MS: u64 = 50;
 
@@ -117,7 +117,7 @@
     match event {
       Event::Accepted { version } => self.accepted(version, None),
       Event::Asked { question, token } => self.asked(&question, token),
-      Event::Consulted { id, reports } => self.inquiries.consulted(id, reports),
+      Event::RecordsQueried { id, reports } => self.inquiries.consulted(id, reports),
       Event::EndpointServes { service, slots, starts, .. } => {
         self.own.backend_starts = starts;
         self.own.service = service;
@@ -147,7 +147,7 @@
     self.close_silent_links();
     self.push_updates();
     self.flush_news();
-    if self.now.time.since_ms(self.beat_at) >= self.identity.timing.beat_ms {
+    if self.now.time.since_ms(self.beat_at) >= self.identity.timing.heartbeat_ms {
       self.beat_at = self.now.time;
       self.note_departures();
       self.endpoints.expire(self.now.time);
@@ -160,15 +160,15 @@
     let Some(known) = self.links.get_mut(&link) else {
       return;
     };
-    known.heard_at = self.now.time;
+    known.last_received_at = self.now.time;
     match message {
       Message::Accepted { version } => self.accepted(version, Some(link)),
       Message::Answer { id, reports } => self.inquiry_answered(link, id, reports),
       Message::Ask { hops, id, question } => self.neighbour_asked(link, hops, id, &question),
-      Message::Beat(beat) => self.beat_received(link, &beat),
+      Message::Heartbeat(beat) => self.beat_received(link, &beat),
       // Roll-outs of software are ordered on platforms only.
       Message::Evacuations(_) | Message::Evidence(_) | Message::Rollout(_) => {}
-      Message::News(endpoints) => self.news_received(link, endpoints),
+      Message::Endpoints(endpoints) => self.news_received(link, endpoints),
       Message::Redirect { floor, relays } => self.redirected(link, floor, relays),
       Message::Refused { reason } => self.update_refused(link, reason),
       Message::Relays(relays) => self.relays_received(link, relays),
--- a/src/distribution/distributor/news.rs
+++ b/src/distribution/distributor/news.rs
@@ -43,11 +43,11 @@
   /// Marks the news about a box for all neighbours but the one it came from.
   fn spread(&mut self, box_id: &BoxId, from: Option<LinkId>) {
     for (id, link) in &mut self.links {
-      if link.is_settled() && Some(*id) != from {
-        link.dirty.insert(box_id.clone());
+      if link.is_established() && Some(*id) != from {
+        link.unsent_endpoints.insert(box_id.clone());
       }
     }
-    let due = self.now.time.after(self.identity.timing.news_delay_ms);
+    let due = self.now.time.after(self.identity.timing.endpoint_delay_ms);
     self.news_due.get_or_insert(due);
   }
 
@@ -91,7 +91,7 @@
       let Some(known) = self.links.get_mut(&link) else {
         continue;
       };
-      let dirty = std::mem::take(&mut known.dirty);
+      let dirty = std::mem::take(&mut known.unsent_endpoints);
       let endpoints: Vec<Endpoint> =
         dirty.iter().filter_map(|id| self.endpoints.get(id)).cloned().collect();
       self.send_news(link, &endpoints);
@@ -100,7 +100,7 @@
 
   fn send_news(&mut self, link: LinkId, endpoints: &[Endpoint]) {
     for batch in endpoints.chunks(Self::NEWS_BATCH) {
-      self.send(link, Message::News(batch.to_vec()));
+      self.send(link, Message::Endpoints(batch.to_vec()));
     }
   }
 
@@ -111,9 +111,9 @@
     }
     let now = self.now.time;
     if let Some(link) = self.links.get_mut(&link) {
-      link.dirty.clear();
-      link.mismatches = 0;
-      link.synced_at = Some(now);
+      link.unsent_endpoints.clear();
+      link.fingerprint_mismatches = 0;
+      link.table_sent_at = Some(now);
     }
     let all: Vec<Endpoint> = self.endpoints.iter().cloned().collect();
     self.send_news(link, &all);
@@ -126,9 +126,9 @@
     let Some(known) = self.links.get_mut(&link) else {
       return;
     };
-    known.mismatches = if differs { known.mismatches + 1 } else { 0 };
-    let rested = known.synced_at.is_none_or(|at| now.since_ms(at) >= Self::SYNC_PAUSE_MS);
-    if known.mismatches >= Self::MISMATCHES_MAX && rested {
+    known.fingerprint_mismatches = if differs { known.fingerprint_mismatches + 1 } else { 0 };
+    let rested = known.table_sent_at.is_none_or(|at| now.since_ms(at) >= Self::SYNC_PAUSE_MS);
+    if known.fingerprint_mismatches >= Self::MISMATCHES_MAX && rested {
       self.sync_endpoints_unless(link, fingerprint);
     }
   }
@@ -168,7 +168,7 @@
       return !self
         .links
         .values()
-        .any(|link| link.is_settled() && link.peer == endpoint.peer.box_id);
+        .any(|link| link.is_established() && link.peer == endpoint.peer.box_id);
     }
     !self.relays.has(relay)
   }
--- a/src/distribution/distributor/pushing.rs
+++ b/src/distribution/distributor/pushing.rs
@@ -7,11 +7,11 @@
   /// Unsound updates on one link after which another source is tried.
   const REFUSALS_MAX: u32 = 2;
 
-  fn beat(&self) -> Beat {
-    let is_new = self.now.time.since_ms(self.switched_at) < 2 * self.identity.timing.beat_ms;
-    Beat {
+  fn beat(&self) -> Heartbeat {
+    let is_new = self.now.time.since_ms(self.switched_at) < 2 * self.identity.timing.heartbeat_ms;
+    Heartbeat {
       applied_unix_ms: is_new.then(|| self.applied_unix_ms()),
-      endpoints: self.endpoints.fingerprint(),
+      endpoints_fingerprint: self.endpoints.fingerprint(),
       era: Era::default(),
       is_relay: self.is_relay(),
       revision: None,
@@ -30,15 +30,15 @@
     let links: Vec<LinkId> = self
       .links
       .iter()
-      .filter(|(_, link)| link.is_settled() && to(link))
+      .filter(|(_, link)| link.is_established() && to(link))
       .map(|(id, _)| *id)
       .collect();
     for link in links {
-      self.send(link, Message::Beat(beat.clone()));
+      self.send(link, Message::Heartbeat(beat.clone()));
     }
   }
 
-  pub(super) fn beat_received(&mut self, link: LinkId, beat: &Beat) {
+  pub(super) fn beat_received(&mut self, link: LinkId, beat: &Heartbeat) {
     self.note_version(link, beat.version);
     let Some(known) = self.links.get_mut(&link) else {
       return;
@@ -49,9 +49,9 @@
     let role = known.role;
     let peer = known.peer.clone();
     if self.upstream.link() == Some(link) {
-      self.upstream.progressed();
+      self.upstream.reset_failures();
     }
-    self.compare_endpoints(link, beat.endpoints);
+    self.compare_endpoints(link, beat.endpoints_fingerprint);
     let Some((version, prefix)) = beat.version else {
       return;
     };
@@ -111,7 +111,7 @@
       return;
     }
     let from = self.links.get(&link).map(|link| link.peer.clone());
-    match self.catalog.take(update, from, self.now.unix_ms) {
+    match self.catalog.apply_update(update, from, self.now.unix_ms) {
       Ok(()) => {
         // The sender holds what it sent, so it is not sent back.
         self.note_version(link, self.catalog.held());
@@ -128,8 +128,8 @@
     let Some(known) = self.links.get_mut(&link) else {
       return;
     };
-    known.unsound += 1;
-    if known.unsound >= Self::REFUSALS_MAX && self.upstream.link() == Some(link) {
+    known.invalid_updates += 1;
+    if known.invalid_updates >= Self::REFUSALS_MAX && self.upstream.link() == Some(link) {
       self.drop_upstream();
       return;
     }
@@ -144,11 +144,11 @@
       return;
     };
     known.refusal = Some(reason);
-    let rested = known.whole_sent_at.is_none_or(|at| now.since_ms(at) >= resend_ms);
+    let rested = known.snapshot_sent_at.is_none_or(|at| now.since_ms(at) >= resend_ms);
     let Some(update) = self.catalog.packed_for(None).filter(|_| rested) else {
       return;
     };
-    known.whole_sent_at = Some(now);
+    known.snapshot_sent_at = Some(now);
     known.sent = Some((update.version(), now));
     self.send(link, Message::Update(update));
   }
@@ -160,9 +160,9 @@
     };
     self.act(Action::Apply(configuration));
     self.switched_at = self.now.time;
-    self.push_due = Some(self.now.time.after(self.identity.timing.push_delay_ms));
+    self.push_due = Some(self.now.time.after(self.identity.timing.update_delay_ms));
     self.send_beats(|link| link.role != LinkRole::Downstream);
-    if self.identity.timing.push_delay_ms == 0 {
+    if self.identity.timing.update_delay_ms == 0 {
       self.push_updates();
     }
   }
@@ -183,7 +183,7 @@
     let now = self.now.time;
     let mesh_due = now >= self.mesh_push_at;
     let wants = |link: &Link| {
-      (link.role != LinkRole::Mesh || mesh_due) && link.wants(now, version, resend_ms)
+      (link.role != LinkRole::Mesh || mesh_due) && link.needs_update(now, version, resend_ms)
     };
     let links: Vec<LinkId> =
       self.links.iter().filter(|(_, link)| wants(link)).map(|(id, _)| *id).collect();
@@ -198,7 +198,7 @@
     let Some((version, known)) = self.catalog.version().zip(self.links.get_mut(&link)) else {
       return;
     };
-    if !known.wants(now, version, resend_ms) {
+    if !known.needs_update(now, version, resend_ms) {
       return;
     }
     known.sent = Some((version, now));
@@ -209,6 +209,6 @@
   }
 
   fn resend_ms(&self) -> u64 {
-    2 * self.identity.timing.beat_ms
+    2 * self.identity.timing.heartbeat_ms
   }
 }
--- a/src/distribution/distributor/relaying.rs
+++ b/src/distribution/distributor/relaying.rs
@@ -13,7 +13,7 @@
   pub(super) fn announce_relay(&mut self) {
     let own = self.own.peer.clone();
     let linked: BTreeSet<&BoxId> =
-      self.links.values().filter(|link| link.is_settled()).map(|link| &link.peer).collect();
+      self.links.values().filter(|link| link.is_established()).map(|link| &link.peer).collect();
     let present = self.endpoints.present().map(|endpoint| &endpoint.peer);
     let known: BTreeSet<Peer> = self
       .identity
@@ -34,7 +34,7 @@
   fn relay_announced(&mut self, link: LinkId, relays: Relays) {
     if !self.is_served_by_relay() {
       self.learn_relays(relays);
-      self.upstream.encouraged(self.now.time, &mut self.rng);
+      self.upstream.relay_found(self.now.time, &mut self.rng);
     }
     self.close_link(link);
   }
--- a/src/distribution/distributor/serving.rs
+++ b/src/distribution/distributor/serving.rs
@@ -26,7 +26,7 @@
     self.note_applied(link, subscribe.applied_unix_ms);
     let is_relay = self.is_relay();
     self.send(link, Message::Welcome { floor, is_relay, relays });
-    self.sync_endpoints_unless(link, subscribe.endpoints);
+    self.sync_endpoints_unless(link, subscribe.endpoints_fingerprint);
     self.news_received(link, vec![subscribe.endpoint.clone()]);
     self.push_update(link);
   }
@@ -40,7 +40,7 @@
     }
     let has_room = self.settled_links(LinkRole::Downstream).count() < Self::DOWNSTREAM_MAX;
     let is_source = self.upstream.link().is_some() || self.catalog.version().is_some();
-    has_room && (self.is_relay() || (subscribe.desperate && is_source))
+    has_room && (self.is_relay() || (subscribe.accepts_any_daemon && is_source))
   }
 
   /// Sends the subscribers elsewhere, once this daemon is no relay any more.
--- a/src/distribution/distributor/storing.rs
+++ b/src/distribution/distributor/storing.rs
@@ -4,7 +4,7 @@
 impl Distributor {
   pub(super) fn tick_election(&mut self) {
     let hall = self.hall();
-    let wanted = Relays::wanted(hall.boxes);
+    let wanted = Relays::slot_count(hall.boxes);
     let has_room = self.relays.free_slot(&hall.own.data_hall, wanted).is_some();
     let vacant =
       self.own.state != EndpointState::Leaving && (has_room || !self.is_served_by_relay());
@@ -33,7 +33,7 @@
       match step {
         Step::Call(request) => self.call_store(request),
         Step::Lost(slot) => self.step_down(&slot),
-        Step::Seen(entries) => self.relays_listed(&entries),
+        Step::RelaysListed(entries) => self.relays_listed(&entries),
         Step::Won(slot) => self.step_up(slot),
       }
     }
@@ -59,7 +59,7 @@
     let former = self.upstream.link();
     self.relays.set(slot, Some(self.own.peer.clone()));
     self.own.relay = Some(self.own.peer.box_id.clone());
-    self.upstream.rest();
+    self.upstream.reset();
     if let Some(link) = former {
       self.set_role(link, LinkRole::Mesh);
       self.subscribe(link);
@@ -71,7 +71,7 @@
 
   pub(super) fn step_down(&mut self, slot: &RelaySlot) {
     self.log(format!("this box no longer holds relay slot {slot}"));
-    self.watcher.rest();
+    self.watcher.reset();
     self.relays.set(slot.clone(), None);
     self.redirect_subscribers();
     let mesh: Vec<LinkId> = self.settled_links(LinkRole::Mesh).map(|(id, _)| id).collect();
@@ -125,7 +125,7 @@
     }
   }
 
-  fn store_seen(&mut self, seen: Seen) {
+  fn store_seen(&mut self, seen: WatchResult) {
     if seen.listed {
       self.relays = Relays::default();
     }
@@ -230,7 +230,7 @@
 
   /// Puts the store's version in force. Returns whether it was sound.
   fn take_from_store(&mut self, update: Update) -> bool {
-    match self.catalog.take(update, None, self.now.unix_ms) {
+    match self.catalog.apply_update(update, None, self.now.unix_ms) {
       Ok(()) => {
         self.switched();
         true
--- a/src/distribution/election.rs
+++ b/src/distribution/election.rs
@@ -59,7 +59,7 @@
   /// The lease ended, and the slot is no longer held.
   Lost(RelaySlot),
   /// The relay entries of the data hall in the store.
-  Seen(Vec<Entry>),
+  RelaysListed(Vec<Entry>),
 }
 
 impl Election {
@@ -152,7 +152,7 @@
       self.failures += 1;
       return Vec::new();
     };
-    let seen = Step::Seen(entries.clone());
+    let seen = Step::RelaysListed(entries.clone());
     let mut relays = Relays::default();
     for entry in entries {
       let peer = entry.value.decode().ok();
@@ -161,7 +161,7 @@
         relays.set(slot, Some(peer));
       }
     }
-    let Some(slot) = relays.free_slot(&hall.own.data_hall, Relays::wanted(hall.boxes)) else {
+    let Some(slot) = relays.free_slot(&hall.own.data_hall, Relays::slot_count(hall.boxes)) else {
       self.failures = 0;
       return vec![seen];
     };
--- a/src/distribution/error.rs
+++ b/src/distribution/error.rs
@@ -25,7 +25,7 @@
     version: Version,
   },
   /// The update cannot be unpacked.
-  Garbled {
+  Corrupt {
     /// Why it cannot be unpacked.
     reason: String,
   },
@@ -64,7 +64,7 @@
       Self::Gap { base, held: None } => {
         write!(f, "the update starts from version {base}, and no version is held")
       }
-      Self::Garbled { reason } => write!(f, "the update cannot be unpacked: {reason}"),
+      Self::Corrupt { reason } => write!(f, "the update cannot be unpacked: {reason}"),
       Self::Unreadable(unreadable) => unreadable.fmt(f),
       Self::UnreadableEntry(entry) => entry.fmt(f),
     }
--- a/src/distribution/evacuations.rs
+++ b/src/distribution/evacuations.rs
@@ -11,7 +11,7 @@
 
 impl Evacuations {
   /// Applies an update if it is newer, and returns whether it was.
-  pub fn hear(&mut self, update: &Evacuation) -> bool {
+  pub fn merge(&mut self, update: &Evacuation) -> bool {
     let known = self.by_hall.get(&update.data_hall);
     if known.is_some_and(|known| known.revision >= update.revision) {
       return false;
--- a/src/distribution/event.rs
+++ b/src/distribution/event.rs
@@ -15,13 +15,6 @@
     /// The id of the question, repeated in the answer.
     token: u64,
   },
-  /// The result of [`Action::Consult`].
-  Consulted {
-    /// The inquiry.
-    id: InquiryId,
-    /// The daemon's reports.
-    reports: Vec<Report>,
-  },
   /// The daemon's own backend server registered the service that it provides.
   EndpointServes {
     /// The service.
@@ -61,6 +54,13 @@
     /// The message.
     message: Message,
   },
+  /// The result of [`Action::QueryRecords`].
+  RecordsQueried {
+    /// The inquiry.
+    id: InquiryId,
+    /// The daemon's reports.
+    reports: Vec<Report>,
+  },
   /// Observations of the daemon's own backend server's answers during a roll-out.
   RolloutObserved(Evidence),
   /// Outcomes of requests that the daemon's own backend server ran.
--- a/src/distribution/follower/asking.rs
+++ b/src/distribution/follower/asking.rs
@@ -16,7 +16,7 @@
     let now = self.now.time;
     let started = self.inquiries.start(now, asker, 0, BTreeSet::new(), consulting, own);
     if let Some(id) = started.filter(|_| consulting) {
-      self.act(Action::Consult { id, question: question.clone() });
+      self.act(Action::QueryRecords { id, question: question.clone() });
     }
   }
 
--- a/src/distribution/follower/directory.rs
+++ b/src/distribution/follower/directory.rs
@@ -148,7 +148,7 @@
     self.act(Action::UnreadableEntry(unreadable.clone()));
     let box_id = box_id?;
     if *box_id == self.own.peer.box_id {
-      self.catalog.note_refusal(self.now.unix_ms, Error::UnreadableEntry(unreadable.clone()));
+      self.catalog.record_refusal(self.now.unix_ms, Error::UnreadableEntry(unreadable.clone()));
       if self.registration.is_missing_at(unreadable.revision) {
         self.announce();
       }
@@ -193,9 +193,9 @@
     let Some(known) = self.links.get_mut(&link) else {
       return;
     };
-    known.mismatches = if differs { known.mismatches + 1 } else { 0 };
-    if known.mismatches >= Self::MISMATCHES_MAX {
-      known.mismatches = 0;
+    known.fingerprint_mismatches = if differs { known.fingerprint_mismatches + 1 } else { 0 };
+    if known.fingerprint_mismatches >= Self::MISMATCHES_MAX {
+      known.fingerprint_mismatches = 0;
       self.directory_at = self.now.time;
     }
   }
--- a/src/distribution/follower/era.rs
+++ b/src/distribution/follower/era.rs
@@ -27,9 +27,9 @@
   /// it is newer.
   fn start_over(&mut self) {
     let now = self.now.time;
-    self.act(Action::StoreWentBack(self.era.unwrap_or_default()));
+    self.act(Action::StoreRestored(self.era.unwrap_or_default()));
     let spread_ms = self.rng.random_range(0..=Self::REWRITE_SPREAD_MS);
-    self.registration.start_over(now.after(spread_ms));
+    self.registration.reset(now.after(spread_ms));
     self.directory_call = None;
     self.directory_at = now.after(Self::ENTRIES_BACK_MS + spread_ms);
     self.lapsed.clear();
--- a/src/distribution/follower/evacuating.rs
+++ b/src/distribution/follower/evacuating.rs
@@ -22,7 +22,7 @@
   pub(super) fn take_evacuations(&mut self, told: &[Evacuation], from: Option<LinkId>) {
     let mut news = Vec::new();
     for one in told {
-      if self.evacuations.hear(one) {
+      if self.evacuations.merge(one) {
         let wish = if one.is_evacuated { "evacuate" } else { "take back" };
         self.log(format!("the operators {wish} {}, at revision {}", one.data_hall, one.revision));
         news.push(one.clone());
--- a/src/distribution/follower/following.rs
+++ b/src/distribution/follower/following.rs
@@ -60,7 +60,7 @@
     let is_recent =
       self.contact_at.is_some_and(|at| self.now.time.since_ms(at) <= Self::CONTACT_MS);
     if !is_recent {
-      self.registration.wake();
+      self.registration.renew_at_once();
     }
     is_recent
   }
@@ -157,7 +157,7 @@
     }
     let now = self.now.time;
     match self.registration.answered(now, call, result, &mut self.rng) {
-      Some(Registered::Lapsed) => {
+      Some(RegistrationResult::LeaseExpired) => {
         self.log("the lease of this box's entry ended: it is announced anew");
         self.announce();
         return;
@@ -212,7 +212,7 @@
     {
       if self.failing_since.is_none() {
         self.failing_since = Some(now);
-        self.registration.wake();
+        self.registration.renew_at_once();
         // Which call, for how long and how far tells a store that is silent from a link that is full.
         let asked = self.asked_for(call);
         self.log(format!("the store does not serve this box, asked for {asked}: {err}"));
@@ -275,7 +275,7 @@
 
   /// Waits a moment, so that changes in quick succession cost one call.
   fn gather(&mut self, after: Revision) {
-    let until = self.now.time.after(self.identity.timing.news_delay_ms);
+    let until = self.now.time.after(self.identity.timing.endpoint_delay_ms);
     self.watch = WatchPhase::Gathering { after, until };
   }
 
@@ -313,7 +313,7 @@
     if self.catalog.version() >= Some(version) {
       return;
     }
-    match self.catalog.take_whole(configuration, self.now.unix_ms) {
+    match self.catalog.apply_whole(configuration, self.now.unix_ms) {
       Ok(()) => self.switched(),
       Err(err) => self.refuse(err.to_string(), Some(version)),
     }
@@ -321,7 +321,7 @@
 
   fn refuse_unreadable(&mut self, unreadable: Unreadable) {
     let Unreadable { reason, version } = unreadable.clone();
-    self.catalog.note_refusal(self.now.unix_ms, Error::Unreadable(unreadable));
+    self.catalog.record_refusal(self.now.unix_ms, Error::Unreadable(unreadable));
     self.refuse(reason, version);
   }
 
@@ -333,7 +333,7 @@
     let log_at = now.after(Self::REFUSED_LOG_MS);
     let held = self.catalog.version();
     self.refused = Some(RefusedVersion { held, log_at, reason: reason.clone(), since, version });
-    self.act(Action::Refuse { reason, version });
+    self.act(Action::ReportRefusal { reason, version });
     if let Some(version) = version {
       self.note_newer(version);
     }
--- a/src/distribution/follower/mod.rs
+++ b/src/distribution/follower/mod.rs
@@ -4,7 +4,7 @@
 
 use {
   self::{news::UntoldNews, returning::Returning},
-  super::{inquiry::Asker, watchers::Watchers},
+  super::{inquiries::Asker, watchers::Watchers},
 };
 
 mod asking;
@@ -218,7 +218,7 @@
     if stood_still_ms > Self::FROZEN_MS {
       self.log(format!("the process stood still for {stood_still_ms} ms: the store is asked anew"));
       self.confirmed_at = None;
-      self.registration.wake();
+      self.registration.renew_at_once();
       self.directory_at = self.now.time;
       self.watch = WatchPhase::Resting { after: self.watch_revision() };
     }
@@ -256,7 +256,7 @@
 
   /// Whether this box is one of those that watch the store for its data hall.
   fn is_watcher(&self) -> bool {
-    self.watchers.is_of_hall(&self.own.peer.box_id)
+    self.watchers.is_in_own_hall(&self.own.peer.box_id)
   }
 
   /// Whether the fleet starts as a whole, and its boxes are still coming up. Whoever took the first ones that
@@ -354,7 +354,7 @@
     match event {
       Event::Accepted { .. } => {}
       Event::Asked { question, token } => self.asked(&question, token),
-      Event::Consulted { id, reports } => self.inquiries.consulted(id, reports),
+      Event::RecordsQueried { id, reports } => self.inquiries.consulted(id, reports),
       Event::EndpointServes { service, slots, software, starts } => {
         self.change_service(service, software, slots, starts);
       }
--- a/src/distribution/follower/neighbours.rs
+++ b/src/distribution/follower/neighbours.rs
@@ -44,16 +44,16 @@
   }
 
   fn send_beat(&mut self, link: LinkId) {
-    let beat = Beat {
+    let beat = Heartbeat {
       applied_unix_ms: None,
-      endpoints: self.endpoints.fingerprint(),
+      endpoints_fingerprint: self.endpoints.fingerprint(),
       era: self.era.unwrap_or_default(),
       is_relay: self.is_served_watcher(),
       revision: self.watch_revision().filter(|_| self.is_served_watcher()),
       store_age_ms: self.knowledge_age_ms(),
       version: self.catalog.held(),
     };
-    self.send(link, Message::Beat(beat));
+    self.send(link, Message::Heartbeat(beat));
   }
 
   /// Whether this daemon watches the store at present, and the store serves it.
@@ -81,7 +81,7 @@
   pub(super) fn has_fresh_neighbour(&self) -> bool {
     let now = self.now.time;
     self.links.values().any(|link| {
-      let age_ms = link.store_age_ms.map(|age_ms| age_ms + now.since_ms(link.heard_at));
+      let age_ms = link.store_age_ms.map(|age_ms| age_ms + now.since_ms(link.last_received_at));
       let is_source = link.role == LinkRole::Upstream && link.is_relay;
       is_source && age_ms.is_some_and(|age_ms| age_ms <= Self::FRESH_MS)
     })
@@ -92,7 +92,7 @@
     let silent: Vec<LinkId> = self
       .links
       .iter()
-      .filter(|(_, link)| now.since_ms(link.heard_at) > Self::SILENCE_MS)
+      .filter(|(_, link)| now.since_ms(link.last_received_at) > Self::SILENCE_MS)
       .map(|(id, _)| *id)
       .collect();
     for link in silent {
@@ -125,7 +125,7 @@
     let is_cut_off = self.failing_since.is_some();
     let rank = |peer: &Peer| {
       let is_far = peer.data_hall != self.own.peer.data_hall;
-      (is_far != is_cut_off, !self.watchers.is_of_hall(&peer.box_id))
+      (is_far != is_cut_off, !self.watchers.is_in_own_hall(&peer.box_id))
     };
     let Some(best) = others.iter().map(|peer| rank(peer)).min() else {
       return;
@@ -146,14 +146,14 @@
         && !self.avoided.contains_key(*box_id)
     };
     if self.upstreams().len() < Self::NEIGHBOURS
-      || !self.watchers.of_hall().any(|one| is_free(&one))
+      || !self.watchers.own_hall_watchers().any(|one| is_free(&one))
     {
       return;
     }
     let other = self
       .links
       .iter()
-      .find(|(_, link)| link.role == LinkRole::Upstream && !self.watchers.is_of_hall(&link.peer));
+      .find(|(_, link)| link.role == LinkRole::Upstream && !self.watchers.is_in_own_hall(&link.peer));
     if let Some(link) = other.map(|(id, _)| *id) {
       self.close_link(link);
     }
@@ -182,9 +182,9 @@
     }
     let subscribe = Subscribe {
       applied_unix_ms: 0,
-      desperate: true,
+      accepts_any_daemon: true,
       endpoint: self.own.clone(),
-      endpoints: self.endpoints.fingerprint(),
+      endpoints_fingerprint: self.endpoints.fingerprint(),
       relay: false,
       version: self.catalog.held(),
     };
@@ -223,14 +223,14 @@
     let Some(known) = self.links.get_mut(&link) else {
       return;
     };
-    known.heard_at = now;
+    known.last_received_at = now;
     match message {
       Message::Answer { id, reports } => self.inquiries.answered(id, link, reports),
       Message::Ask { hops: _, id, question } => self.neighbour_asked(link, id, &question),
-      Message::Beat(beat) => self.beat_received(link, &beat),
+      Message::Heartbeat(beat) => self.beat_received(link, &beat),
       Message::Evacuations(told) => self.take_evacuations(&told, Some(link)),
       Message::Evidence(told) => self.evidence_told(Some(link), told),
-      Message::News(endpoints) => self.news_received(link, &endpoints),
+      Message::Endpoints(endpoints) => self.news_received(link, &endpoints),
       Message::Refused { reason } => self.update_refused(link, &reason),
       Message::Rollout(word) => self.rollout_told(link, &word),
       Message::Subscribe(subscribe) => self.subscription_asked(link, &subscribe),
@@ -245,9 +245,9 @@
       known.role = LinkRole::Downstream;
       known.version = subscribe.version;
     }
-    if self.endpoints.fingerprint() != subscribe.endpoints {
+    if self.endpoints.fingerprint() != subscribe.endpoints_fingerprint {
       let present: Vec<Endpoint> = self.endpoints.present().cloned().collect();
-      self.send(link, Message::News(present));
+      self.send(link, Message::Endpoints(present));
     }
     self.news_received(link, std::slice::from_ref(&subscribe.endpoint));
     self.tell_evacuations_to(link);
@@ -260,7 +260,7 @@
     }
   }
 
-  fn beat_received(&mut self, link: LinkId, beat: &Beat) {
+  fn beat_received(&mut self, link: LinkId, beat: &Heartbeat) {
     if beat.era > self.era.unwrap_or_default() {
       self.note_era(beat.era);
     }
@@ -275,7 +275,7 @@
     known.is_relay = beat.is_relay;
     if is_served_again && known.role == LinkRole::Upstream {
       // The store was away: this box's lease may have ended meanwhile, and its entry must be back soon.
-      self.registration.wake();
+      self.registration.renew_at_once();
     }
     let Some(known) = self.links.get_mut(&link) else {
       return;
@@ -289,7 +289,7 @@
       return;
     };
     let is_known_long = now.since_ms(known.opened_at) > Self::STALE_MS;
-    self.compare_boxes(link, beat.endpoints);
+    self.compare_boxes(link, beat.endpoints_fingerprint);
     let held = beat.version.map(|(version, _)| version);
     if let Some(version) = held {
       self.note_newer(version);
--- a/src/distribution/follower/news.rs
+++ b/src/distribution/follower/news.rs
@@ -30,7 +30,7 @@
   /// so that each neighbour gets them in one message.
   pub(super) fn news_taken(&mut self, news: &[Endpoint], from: Option<LinkId>) {
     for endpoint in news {
-      self.watchers.note(endpoint);
+      self.watchers.update(endpoint);
       let untold = UntoldNews { endpoint: endpoint.clone(), from };
       self.untold_news.insert(endpoint.peer.box_id.clone(), untold);
     }
@@ -48,13 +48,13 @@
     self.news_told_at = self.now.time;
     let news: Vec<Endpoint> = untold.values().map(|one| one.endpoint.clone()).collect();
     self.note_versions(&news);
-    self.act(Action::EndpointsNews(news));
+    self.act(Action::EndpointsUpdated(news));
     let links: Vec<LinkId> = self.links.keys().copied().collect();
     for link in links {
       let news = untold.values().filter(|one| one.from != Some(link));
       let news: Vec<Endpoint> = news.map(|one| one.endpoint.clone()).collect();
       if !news.is_empty() {
-        self.send(link, Message::News(news));
+        self.send(link, Message::Endpoints(news));
       }
     }
   }
--- a/src/distribution/follower/returning.rs
+++ b/src/distribution/follower/returning.rs
@@ -98,7 +98,7 @@
   /// Whether this daemon is not cut off itself: the store serves it, and other boxes speak to it.
   fn hears_others(&self) -> bool {
     let now = self.now.time;
-    let speaks = |link: &Link| now.since_ms(link.heard_at) <= Self::SILENCE_MS;
+    let speaks = |link: &Link| now.since_ms(link.last_received_at) <= Self::SILENCE_MS;
     self.failing_since.is_none() && self.links.values().any(speaks)
   }
 
--- a/src/distribution/follower/rollouts.rs
+++ b/src/distribution/follower/rollouts.rs
@@ -124,7 +124,7 @@
     for service in self.rollouts.services_at_work() {
       let is_of = |endpoint: &&Endpoint| endpoint.service == service;
       let endpoints = self.endpoints.present().filter(is_of).collect();
-      let hears_all = self.watchers.is_one(&self.own.peer.box_id);
+      let hears_all = self.watchers.contains(&self.own.peer.box_id);
       let view = view(&self.identity, self.now, endpoints);
       let view = FleetView { hears_all, rank: self.decider_rank(&service), ..view };
       let actions = self.rollouts.tick(&service, &view);
@@ -160,10 +160,10 @@
     if heard.is_empty() {
       return;
     }
-    let is_watcher = self.watchers.is_one(&self.own.peer.box_id);
+    let is_watcher = self.watchers.contains(&self.own.peer.box_id);
     let leads_there = |link: &Link| {
       let is_upstream = link.role == LinkRole::Upstream;
-      if is_watcher { self.watchers.is_one(&link.peer) } else { is_upstream }
+      if is_watcher { self.watchers.contains(&link.peer) } else { is_upstream }
     };
     let links = self.links.iter().filter(|(_, link)| leads_there(link));
     let links: Vec<LinkId> = links.map(|(id, _)| *id).collect();
--- a/src/distribution/follower/silence.rs
+++ b/src/distribution/follower/silence.rs
@@ -62,7 +62,7 @@
   /// A watcher hears from the next one of the fleet that it can reach, and from nobody else.
   pub(super) fn hear_from_next_watcher(&mut self) {
     let is_free = |peer: &&Peer| !self.avoided.contains_key(&peer.box_id);
-    let next = self.watchers.after(&self.own.peer.box_id).find(is_free);
+    let next = self.watchers.sources_for(&self.own.peer.box_id).find(is_free);
     let Some(next) = next.cloned() else {
       return;
     };
--- a/src/distribution/follower/updates.rs
+++ b/src/distribution/follower/updates.rs
@@ -69,7 +69,7 @@
       return;
     }
     self.newest_known = version;
-    self.act(Action::Behind(version));
+    self.act(Action::NewerVersionKnown(version));
   }
 
   pub(super) fn update_received(&mut self, link: LinkId, packed: &PackedUpdate) {
@@ -78,7 +78,7 @@
     }
     let from = self.links.get(&link).map(|link| link.peer.clone());
     let taken =
-      packed.unpack().and_then(|update| self.catalog.take(update, from, self.now.unix_ms));
+      packed.unpack().and_then(|update| self.catalog.apply_update(update, from, self.now.unix_ms));
     match taken {
       Ok(()) => {
         self.note_outrun();
@@ -99,10 +99,10 @@
     let Some(known) = self.links.get_mut(&link) else {
       return;
     };
-    if known.whole_sent_at.is_some_and(|at| now.since_ms(at) < Self::SILENCE_MS) {
+    if known.snapshot_sent_at.is_some_and(|at| now.since_ms(at) < Self::SILENCE_MS) {
       return;
     }
-    known.whole_sent_at = Some(now);
+    known.snapshot_sent_at = Some(now);
     if let Some(update) = self.catalog.packed_for(None) {
       self.send(link, Message::Update(update));
     }
@@ -132,12 +132,12 @@
     let Some((version, known)) = self.catalog.version().zip(self.links.get_mut(&link)) else {
       return;
     };
-    if known.role != LinkRole::Downstream || !known.wants(now, version, Self::SILENCE_MS) {
+    if known.role != LinkRole::Downstream || !known.needs_update(now, version, Self::SILENCE_MS) {
       return;
     }
     known.sent = Some((version, now));
     // What was sent is on its way, so the next update goes on from there.
-    let held = known.sent_held.max(known.version);
+    let held = known.version_after_sent.max(known.version);
     let Some(update) = self.catalog.packed_for(held) else {
       return;
     };
@@ -145,7 +145,7 @@
       return self.send(link, Message::Accepted { version });
     }
     if let Some(known) = self.links.get_mut(&link) {
-      known.sent_held = self.catalog.held();
+      known.version_after_sent = self.catalog.held();
     }
     self.send(link, Message::Update(update));
   }
--- a/src/distribution/message.rs
+++ b/src/distribution/message.rs
@@ -27,14 +27,15 @@
   },
   /// The periodic heartbeat.
   #[serde(rename = "b")]
-  Beat(Beat),
+  Heartbeat(Heartbeat),
   /// Evacuations of data halls that began or ended.
   Evacuations(Vec<Evacuation>),
   /// Boxes' observations of their backend servers' answers, for the daemons that may decide a
   /// roll-out.
   Evidence(Vec<Evidence>),
   /// Updated endpoints.
-  News(Vec<Endpoint>),
+  #[serde(rename = "news")]
+  Endpoints(Vec<Endpoint>),
   /// The sender does not serve the receiver, which should try another relay.
   Redirect {
     /// The highest version that the receiver's box or the sender is known to have held.
--- a/src/distribution/mod.rs
+++ b/src/distribution/mod.rs
@@ -21,7 +21,6 @@
   acceptance_step::AcceptanceStep,
   action::Action,
   archive::Archive,
-  beat::Beat,
   catalog::Catalog,
   distribution::Distribution,
   distributor::{Distributor, Status},
@@ -31,20 +30,21 @@
   evacuations::Evacuations,
   event::Event,
   follower::Follower,
+  heartbeat::Heartbeat,
   identity::Identity,
-  inquiry::Inquiries,
+  inquiries::Inquiries,
   inquiry_id::InquiryId,
   link::Link,
   link_id::LinkId,
   link_role::LinkRole,
   message::Message,
   moment::Moment,
-  outcome::{Outcome, Refused},
+  outcome::{Outcome, RefusalReason},
   packed_update::PackedUpdate,
   profile::Profile,
   provenance::Provenance,
   question::Question,
-  registration::{Registered, Registration},
+  registration::{Registration, RegistrationResult},
   relay_slot::RelaySlot,
   relays::Relays,
   report::Report,
@@ -60,7 +60,6 @@
 mod acceptance_step;
 mod action;
 mod archive;
-mod beat;
 mod catalog;
 #[allow(clippy::module_inception)]
 mod distribution;
@@ -71,8 +70,9 @@
 mod evacuations;
 mod event;
 mod follower;
+mod heartbeat;
 mod identity;
-mod inquiry;
+mod inquiries;
 mod inquiry_id;
 pub mod keys;
 mod link;
--- a/src/distribution/outcome.rs
+++ b/src/distribution/outcome.rs
@@ -9,7 +9,7 @@
     version: Version,
   },
   /// The change did not take effect and cannot take effect later.
-  Refused(Refused),
+  Refused(RefusalReason),
   /// The change may have taken effect.
   Unknown {
     /// Why the outcome is unknown.
@@ -19,7 +19,7 @@
 
 /// Why a change was refused.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Refused {
+pub enum RefusalReason {
   /// The change is invalid.
   Configuration(configuration::Error),
   /// The store did not answer in time. The change may be submitted again.
@@ -38,7 +38,7 @@
   },
 }
 
-impl Display for Refused {
+impl Display for RefusalReason {
   fn fmt(&self, f: &mut Formatter) -> fmt::Result {
     match self {
       Self::Configuration(err) => err.fmt(f),
@@ -62,7 +62,7 @@
   }
 }
 
-impl From<configuration::Error> for Refused {
+impl From<configuration::Error> for RefusalReason {
   fn from(err: configuration::Error) -> Self {
     Self::Configuration(err)
   }
--- a/src/distribution/packed_update.rs
+++ b/src/distribution/packed_update.rs
@@ -38,11 +38,11 @@
   /// Decompresses and decodes the update.
   ///
   /// # Errors
-  /// [`Error::Garbled`] if the bytes are not an update to the stated version.
+  /// [`Error::Corrupt`] if the bytes are not an update to the stated version.
   pub fn unpack(&self) -> Result<Update> {
     let mut plain = Vec::new();
     let decoder = flate2::read::DeflateDecoder::new(&self.bytes[..]);
-    let garbled = |reason: String| Error::Garbled { reason };
+    let garbled = |reason: String| Error::Corrupt { reason };
     decoder
       .take(Self::UNPACKED_BYTES_MAX)
       .read_to_end(&mut plain)
--- a/src/distribution/profile.rs
+++ b/src/distribution/profile.rs
@@ -20,15 +20,24 @@
   /// Returns the periods of the profile.
   pub fn timing(self) -> Timing {
     match self {
-      Self::Balanced => {
-        Timing { beat_ms: 3_000, lease_ttl_ms: 6_000, news_delay_ms: 100, push_delay_ms: 50 }
-      }
-      Self::Frugal => {
-        Timing { beat_ms: 5_000, lease_ttl_ms: 9_000, news_delay_ms: 500, push_delay_ms: 1_000 }
-      }
-      Self::Prompt => {
-        Timing { beat_ms: 2_000, lease_ttl_ms: 4_000, news_delay_ms: 50, push_delay_ms: 0 }
-      }
+      Self::Balanced => Timing {
+        heartbeat_ms: 3_000,
+        lease_ttl_ms: 6_000,
+        endpoint_delay_ms: 100,
+        update_delay_ms: 50,
+      },
+      Self::Frugal => Timing {
+        heartbeat_ms: 5_000,
+        lease_ttl_ms: 9_000,
+        endpoint_delay_ms: 500,
+        update_delay_ms: 1_000,
+      },
+      Self::Prompt => Timing {
+        heartbeat_ms: 2_000,
+        lease_ttl_ms: 4_000,
+        endpoint_delay_ms: 50,
+        update_delay_ms: 0,
+      },
     }
   }
 }
--- a/src/distribution/registration.rs
+++ b/src/distribution/registration.rs
@@ -34,13 +34,13 @@
 
 /// The result of a call of the registration.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Registered {
+pub enum RegistrationResult {
   /// The call succeeded.
   Done,
   /// The call failed or got an unexpected answer.
   Failed,
   /// The lease and the entry expired, so the box must be announced again.
-  Lapsed,
+  LeaseExpired,
 }
 
 impl Registration {
@@ -116,7 +116,7 @@
     call: u64,
     result: &store::Result<Reply>,
     rng: &mut ChaCha8Rng,
-  ) -> Option<Registered> {
+  ) -> Option<RegistrationResult> {
     let (_, pending) = self.pending.take_if(|(own, _)| *own == call)?;
     match (pending, result) {
       (Pending::Grant, Ok(Reply::Lease { lease })) => self.lease = Some(*lease),
@@ -129,15 +129,15 @@
       (_, Err(store::Error::Refused(Refusal::LeaseEnded))) => {
         self.lease = None;
         self.written = None;
-        return Some(Registered::Lapsed);
+        return Some(RegistrationResult::LeaseExpired);
       }
       _ => {
         self.fail(now, rng);
-        return Some(Registered::Failed);
+        return Some(RegistrationResult::Failed);
       }
     }
     self.failures = 0;
-    Some(Registered::Done)
+    Some(RegistrationResult::Done)
   }
 
   fn fail(&mut self, now: Time, rng: &mut ChaCha8Rng) {
@@ -161,7 +161,7 @@
 
   /// Discards the lease and the entry, which the store has lost, and creates both again from `at`
   /// on. Answers to outstanding calls are ignored.
-  pub fn start_over(&mut self, at: Time) {
+  pub fn reset(&mut self, at: Time) {
     // An entry that existed is rewritten at once, even if it states that the box accepts no
     // requests.
     let is_written_live = self.is_written_live || self.written.is_some();
@@ -169,7 +169,7 @@
   }
 
   /// Makes the renewal of the lease due at once, after a pause of the process.
-  pub fn wake(&mut self) {
+  pub fn renew_at_once(&mut self) {
     self.renewed_at = Time(0);
   }
 }
--- a/src/distribution/relays.rs
+++ b/src/distribution/relays.rs
@@ -7,12 +7,12 @@
 
 impl Relays {
   /// Number of boxes that one relay serves.
-  pub const SHARE: usize = 32;
+  pub const BOXES_PER_RELAY: usize = 32;
 
-  /// Returns the number of slots of a data hall with `boxes` boxes: one for every [`Relays::SHARE`]
+  /// Returns the number of slots of a data hall with `boxes` boxes: one for every [`Relays::BOXES_PER_RELAY`]
   /// boxes, and at least two so that one relay may fail.
-  pub fn wanted(boxes: usize) -> u32 {
-    u32::try_from(boxes.div_ceil(Self::SHARE).max(2)).unwrap_or(u32::MAX)
+  pub fn slot_count(boxes: usize) -> u32 {
+    u32::try_from(boxes.div_ceil(Self::BOXES_PER_RELAY).max(2)).unwrap_or(u32::MAX)
   }
 
   /// Returns the lowest free slot among the first `wanted` slots of a data hall.
--- a/src/distribution/subscribe.rs
+++ b/src/distribution/subscribe.rs
@@ -8,13 +8,13 @@
   pub applied_unix_ms: u64,
   /// Whether the subscriber found no relay and any daemon with a configuration should serve it.
   #[serde(rename = "d")]
-  pub desperate: bool,
+  pub accepts_any_daemon: bool,
   /// The subscriber's own endpoint.
   #[serde(rename = "e")]
   pub endpoint: Endpoint,
   /// The fingerprint of the subscriber's endpoint table.
   #[serde(rename = "f")]
-  pub endpoints: u32,
+  pub endpoints_fingerprint: u32,
   /// Whether the subscriber is a relay.
   #[serde(rename = "r")]
   pub relay: bool,
--- a/src/distribution/upstream.rs
+++ b/src/distribution/upstream.rs
@@ -30,12 +30,12 @@
   const BACKOFF_MIN_MS: u64 = 50;
   /// Failed attempts beyond the number of known relays after which any daemon with a configuration
   /// is accepted.
-  const DESPERATE_AFTER: usize = 4;
+  const ANY_DAEMON_AFTER: usize = 4;
   /// Range of the random delay with which boxes that learn of a relay at the same time connect to
   /// it, in milliseconds.
-  const ENCOURAGED_SPREAD_MS: u64 = 100;
+  const RELAY_FOUND_SPREAD_MS: u64 = 100;
   /// Timeout of a connection attempt, and of the answer to a subscription, in milliseconds.
-  const PATIENCE_MS: u64 = 2_000;
+  const TIMEOUT_MS: u64 = 2_000;
 
   /// Returns the link to the daemon that serves this one.
   pub fn link(&self) -> Option<LinkId> {
@@ -56,8 +56,8 @@
   }
 
   /// Whether any daemon with a configuration is accepted as the upstream.
-  pub(super) fn is_desperate(&self, relays: usize) -> bool {
-    self.failures as usize >= relays + Self::DESPERATE_AFTER
+  pub(super) fn accepts_any_daemon(&self, relays: usize) -> bool {
+    self.failures as usize >= relays + Self::ANY_DAEMON_AFTER
   }
 
   /// Returns the next box to connect to, if an attempt is due.
@@ -96,7 +96,7 @@
   pub(super) fn is_overdue(&self, now: Time) -> bool {
     match self.phase {
       Phase::Asking { since, .. } | Phase::Connecting { since, .. } => {
-        now.since_ms(since) > Self::PATIENCE_MS
+        now.since_ms(since) > Self::TIMEOUT_MS
       }
       _ => false,
     }
@@ -116,20 +116,20 @@
   }
 
   /// Ends a pause early, after a random delay, because a relay became known.
-  pub(super) fn encouraged(&mut self, now: Time, rng: &mut ChaCha8Rng) {
+  pub(super) fn relay_found(&mut self, now: Time, rng: &mut ChaCha8Rng) {
     if let Phase::Idle { next_at } = &mut self.phase {
       self.failures = 0;
-      *next_at = now.after(rng.random_range(0..=Self::ENCOURAGED_SPREAD_MS)).min(*next_at);
+      *next_at = now.after(rng.random_range(0..=Self::RELAY_FOUND_SPREAD_MS)).min(*next_at);
     }
   }
 
   /// Records that the subscription was accepted.
-  pub(super) fn welcomed(&mut self, link: LinkId) {
+  pub(super) fn subscribed(&mut self, link: LinkId) {
     self.phase = Phase::Subscribed { link };
   }
 
   /// Resets the count of failures, because the upstream is alive.
-  pub(super) fn progressed(&mut self) {
+  pub(super) fn reset_failures(&mut self) {
     self.failures = 0;
   }
 
@@ -142,7 +142,7 @@
   }
 
   /// Returns to the initial state, for a daemon that became a relay.
-  pub(super) fn rest(&mut self) {
+  pub(super) fn reset(&mut self) {
     *self = Self::default();
   }
 }
--- a/src/distribution/watcher.rs
+++ b/src/distribution/watcher.rs
@@ -33,7 +33,7 @@
 
 /// The content of an answer of the store.
 #[derive(Default)]
-pub(super) struct Seen {
+pub(super) struct WatchResult {
   /// Whether the head is newer than the known one.
   pub(super) head: bool,
   /// Changed relay slots; all slots if `listed`.
@@ -110,7 +110,7 @@
     result: &store::Result<Reply>,
     next_call: u64,
     rng: &mut ChaCha8Rng,
-  ) -> Option<(Seen, Option<StoreRequest>)> {
+  ) -> Option<(WatchResult, Option<StoreRequest>)> {
     if self.snapshot_call == Some(call) {
       self.snapshot_call = None;
       return Some((Self::snapshot_read(result), None));
@@ -138,7 +138,7 @@
       }
       _ => {
         self.back_off(now, rng);
-        Some((Seen::default(), None))
+        Some((WatchResult::default(), None))
       }
     }
   }
@@ -155,8 +155,8 @@
     StoreRequest::Watch { after, prefix: keys::watched(), wait_ms: Self::WATCH_MS }
   }
 
-  fn listed(&mut self, entries: &[Entry]) -> Seen {
-    let mut seen = Seen { confirmed: true, listed: true, ..Seen::default() };
+  fn listed(&mut self, entries: &[Entry]) -> WatchResult {
+    let mut seen = WatchResult { confirmed: true, listed: true, ..WatchResult::default() };
     let has_head = entries.iter().any(|entry| entry.key == keys::head());
     if !has_head {
       self.head = None;
@@ -167,8 +167,8 @@
     seen
   }
 
-  fn changed(&mut self, events: &[store::Event]) -> Seen {
-    let mut seen = Seen { confirmed: true, ..Seen::default() };
+  fn changed(&mut self, events: &[store::Event]) -> WatchResult {
+    let mut seen = WatchResult { confirmed: true, ..WatchResult::default() };
     for event in events {
       self.note(&event.key, event.entry.as_ref(), &mut seen);
     }
@@ -177,7 +177,7 @@
 
   /// Records the entry of a key. Repeated and reordered entries are harmless: heads are ordered by
   /// revision, and the next list corrects the relay slots.
-  fn note(&mut self, key: &Key, entry: Option<&Entry>, seen: &mut Seen) {
+  fn note(&mut self, key: &Key, entry: Option<&Entry>, seen: &mut WatchResult) {
     if let Some(slot) = keys::slot_of(key) {
       let peer = entry.and_then(|entry| entry.value.decode().ok());
       seen.relays.push((slot, peer));
@@ -193,23 +193,23 @@
     }
   }
 
-  fn head_read(&mut self, result: &store::Result<Reply>) -> Seen {
-    let mut seen = Seen::default();
+  fn head_read(&mut self, result: &store::Result<Reply>) -> WatchResult {
+    let mut seen = WatchResult::default();
     if let Ok(Reply::Entry { entry: Some(entry), .. }) = result {
       self.note(&entry.key, Some(entry), &mut seen);
     }
     seen
   }
 
-  fn snapshot_read(result: &store::Result<Reply>) -> Seen {
+  fn snapshot_read(result: &store::Result<Reply>) -> WatchResult {
     let Ok(Reply::Entry { entry: Some(entry), .. }) = result else {
-      return Seen::default();
+      return WatchResult::default();
     };
-    Seen { snapshot: entry.value.decode().ok(), ..Seen::default() }
+    WatchResult { snapshot: entry.value.decode().ok(), ..WatchResult::default() }
   }
 
   /// Returns to the initial state, for a daemon that is no longer a relay.
-  pub(super) fn rest(&mut self) {
+  pub(super) fn reset(&mut self) {
     *self = Self::default();
   }
 }
--- a/src/distribution/watchers.rs
+++ b/src/distribution/watchers.rs
@@ -10,7 +10,7 @@
   /// The boxes of each data hall, in order of preference as watchers.
   halls: BTreeMap<DataHall, BTreeMap<Rank, Peer>>,
   /// The watchers of the own data hall.
-  of_hall: BTreeSet<BoxId>,
+  in_own_hall: BTreeSet<BoxId>,
   own_hall: DataHall,
   /// All watchers, ordered by a hash of their names so that neighbours rarely share a data hall.
   ring: Vec<Peer>,
@@ -33,7 +33,7 @@
   pub(super) fn new(own_hall: DataHall) -> Self {
     Self {
       halls: BTreeMap::new(),
-      of_hall: BTreeSet::new(),
+      in_own_hall: BTreeSet::new(),
       own_hall,
       ring: Vec::new(),
       ranks: BTreeMap::new(),
@@ -41,7 +41,7 @@
   }
 
   /// Applies the latest state of a box.
-  pub(super) fn note(&mut self, endpoint: &Endpoint) {
+  pub(super) fn update(&mut self, endpoint: &Endpoint) {
     let peer = &endpoint.peer;
     let link_mbps = Reverse(endpoint.link_mbps);
     let known = self.ranks.get(&peer.box_id);
@@ -94,24 +94,24 @@
     let mut ring: Vec<(&Rank, &Peer)> = watchers.collect();
     ring.sort_by_key(|(rank, _)| rank.name_hash);
     self.ring = ring.into_iter().map(|(_, peer)| peer.clone()).collect();
-    let of_hall = self.ring.iter().filter(|peer| peer.data_hall == self.own_hall);
-    self.of_hall = of_hall.map(|peer| peer.box_id.clone()).collect();
+    let in_own_hall = self.ring.iter().filter(|peer| peer.data_hall == self.own_hall);
+    self.in_own_hall = in_own_hall.map(|peer| peer.box_id.clone()).collect();
   }
 
   /// Whether a box is a watcher of the own data hall.
-  pub(super) fn is_of_hall(&self, box_id: &BoxId) -> bool {
-    self.of_hall.contains(box_id)
+  pub(super) fn is_in_own_hall(&self, box_id: &BoxId) -> bool {
+    self.in_own_hall.contains(box_id)
   }
 
   /// Returns the watchers of the own data hall.
-  pub(super) fn of_hall(&self) -> impl Iterator<Item = &BoxId> {
-    self.of_hall.iter()
+  pub(super) fn own_hall_watchers(&self) -> impl Iterator<Item = &BoxId> {
+    self.in_own_hall.iter()
   }
 
   /// Returns all other watchers in the order in which a watcher prefers them as sources. If each
   /// receives updates from its first choice, they form a ring, and every update reaches all of
   /// them.
-  pub(super) fn after(&self, own: &BoxId) -> impl Iterator<Item = &Peer> {
+  pub(super) fn sources_for(&self, own: &BoxId) -> impl Iterator<Item = &Peer> {
     let own_at = self.position(own).map_or(0, |position| position + 1);
     let (before, behind) = self.ring.split_at(own_at.min(self.ring.len()));
     behind.iter().chain(before).filter(move |peer| peer.box_id != *own)
@@ -131,7 +131,7 @@
   }
 
   /// Whether a box is a watcher of any data hall.
-  pub(super) fn is_one(&self, box_id: &BoxId) -> bool {
+  pub(super) fn contains(&self, box_id: &BoxId) -> bool {
     self.position(box_id).is_some()
   }
 
--- a/src/node/distribution_loop.rs
+++ b/src/node/distribution_loop.rs
@@ -115,19 +115,19 @@
         }
       }
       Action::Apply(configuration) => self.shared.apply(configuration),
-      Action::Behind(version) => self.shared.note_newer_version(version),
+      Action::NewerVersionKnown(version) => self.shared.note_newer_version(version),
       Action::CallStore { call, request } => {
         monoio::spawn(self.clone().call_store(call, request));
       }
       Action::CloseLink { link } => {
         self.links.borrow_mut().remove(&link);
       }
-      Action::Consult { id, question } => {
+      Action::QueryRecords { id, question } => {
         let reports = self.consult(&question);
         let looked = self.clone();
-        monoio::spawn(async move { looked.handle(Event::Consulted { id, reports }) });
+        monoio::spawn(async move { looked.handle(Event::RecordsQueried { id, reports }) });
       }
-      Action::EndpointsNews(news) => self.shared.take_endpoints(&news),
+      Action::EndpointsUpdated(news) => self.shared.take_endpoints(&news),
       Action::EvacuationsChanged(evacuated) => self.shared.set_evacuated(evacuated),
       Action::EndpointsChanged => {
         self.shared.set_endpoints(self.distributor.borrow().endpoints().iter());
@@ -136,12 +136,12 @@
       Action::OpenLink(peer) => {
         monoio::spawn(self.clone().open_link(peer));
       }
-      Action::Refuse { reason, version } => {
+      Action::ReportRefusal { reason, version } => {
         self.shared.note_refused_configuration(&reason, version);
       }
       Action::RolloutsChanged(traffic) => self.shared.set_traffic(traffic),
       Action::Send { link, message } => self.send(link, message),
-      Action::StoreWentBack(era) => self.shared.note_store_era(era),
+      Action::StoreRestored(era) => self.shared.note_store_era(era),
       Action::UnreadableEntry(entry) => self.shared.note_unreadable_entry(&entry),
     }
   }
--- a/tests/evacuations.rs
+++ b/tests/evacuations.rs
@@ -95,14 +95,14 @@
       .collect::<arbtest::arbitrary::Result<_>>()?;
     let mut in_order = Evacuations::default();
     for one in &news {
-      assert!(in_order.hear(one));
+      assert!(in_order.merge(one));
     }
     let mut shuffled = Evacuations::default();
     for _ in 0..40 {
-      shuffled.hear(u.choose(&news)?);
+      shuffled.merge(u.choose(&news)?);
     }
     for one in &news {
-      shuffled.hear(one);
+      shuffled.merge(one);
     }
     assert_eq!(in_order.halls(), shuffled.halls());
     Ok(())
@@ -112,7 +112,7 @@
 #[test]
 fn a_read_ends_what_it_is_newer_than() {
   let mut known = Evacuations::default();
-  known.hear(&told(0, 10, true));
+  known.merge(&told(0, 10, true));
   assert_eq!(known.ended(&BTreeSet::new(), Revision::from(9)), []);
   assert_eq!(known.ended(&BTreeSet::from([hall(0)]), Revision::from(12)), []);
   assert_eq!(known.ended(&BTreeSet::new(), Revision::from(12)), [told(0, 12, false)]);
--- a/tests/large_configuration.rs
+++ b/tests/large_configuration.rs
@@ -53,7 +53,7 @@
   assert!((VALUE_BYTES_MAX * 9 / 10..VALUE_BYTES_MAX).contains(&text.len()), "{}", text.len());
   let configuration = OperatorSource.read(&text).expect("a configuration");
   let mut catalog = Catalog::default();
-  catalog.take_whole(configuration, 0).expect("what the store accepted is in force");
+  catalog.apply_whole(configuration, 0).expect("what the store accepted is in force");
   assert_eq!(catalog.configuration().map(|held| held.routes.len()), Some(8_000));
 }
 
@@ -97,18 +97,18 @@
     let first = usize::try_from(number).expect("a small number") * 1_000;
     OperatorSource.read(&written(first..first + 1_000, number)).expect("a configuration")
   };
-  catalog.take_whole(version(1), 0).expect("taken");
+  catalog.apply_whole(version(1), 0).expect("taken");
   let held = catalog.held();
   for number in 2..=9 {
-    catalog.take_whole(version(number), 0).expect("taken");
+    catalog.apply_whole(version(number), 0).expect("taken");
     let whole = catalog.configuration().expect("held").object_count();
     let objects = objects(&catalog.update_for(held).expect("an update"));
     assert!(objects <= whole, "{objects} objects for a whole of {whole}, {number} versions on");
   }
   let mut behind = Catalog::default();
-  behind.take_whole(version(1), 0).expect("taken");
+  behind.apply_whole(version(1), 0).expect("taken");
   let update = catalog.update_for(held).expect("an update");
-  behind.take(update, None, 0).expect("the update fits what is held");
+  behind.apply_update(update, None, 0).expect("the update fits what is held");
   assert_eq!(behind.held(), catalog.held());
 }
 
@@ -119,11 +119,11 @@
   const BYTES_PER_MS: usize = 10 * 125;
   let mut catalog = Catalog::default();
   let read = |routes| OperatorSource.read(&written(routes, 1)).expect("a configuration");
-  catalog.take_whole(read(0..8_000), 0).expect("taken");
+  catalog.apply_whole(read(0..8_000), 0).expect("taken");
   let whole = catalog.packed_for(None).expect("an update");
   assert!(whole.size_bytes() / BYTES_PER_MS < 333, "{} bytes", whole.size_bytes());
   let mut other = Catalog::default();
-  other.take(whole.unpack().expect("what was packed"), None, 0).expect("taken");
+  other.apply_update(whole.unpack().expect("what was packed"), None, 0).expect("taken");
   assert_eq!(other.held(), catalog.held());
 }
 
@@ -131,7 +131,7 @@
 fn what_cannot_be_unpacked_is_refused() {
   let mut catalog = Catalog::default();
   let whole = OperatorSource.read(&written(0..100, 1)).expect("a configuration");
-  catalog.take_whole(whole, 0).expect("taken");
+  catalog.apply_whole(whole, 0).expect("taken");
   let packed = catalog.packed_for(None).expect("an update");
   let mut bytes = Vec::new();
   ciborium::into_writer(&packed, &mut bytes).expect("written");
@@ -145,7 +145,7 @@
       continue;
     };
     let mut other = Catalog::default();
-    if other.take(update, None, 0).is_err() {
+    if other.apply_update(update, None, 0).is_err() {
       refused += 1;
       continue;
     }
@@ -162,16 +162,16 @@
   };
   let mut ahead = Catalog::default();
   let mut behind = Catalog::default();
-  ahead.take_whole(read(0..50, 1), 0).expect("taken");
-  behind.take_whole(read(0..50, 1), 0).expect("taken");
+  ahead.apply_whole(read(0..50, 1), 0).expect("taken");
+  behind.apply_whole(read(0..50, 1), 0).expect("taken");
   let held = behind.held();
-  ahead.take_whole(read(0..51, 2), 0).expect("taken");
-  ahead.take_whole(read(0..52, 3), 0).expect("taken");
+  ahead.apply_whole(read(0..51, 2), 0).expect("taken");
+  ahead.apply_whole(read(0..52, 3), 0).expect("taken");
   let Some(Update::Patches(mut patches)) = ahead.update_for(held) else {
     panic!("two small patches");
   };
   patches.last_mut().expect("two patches").operations.clear();
-  behind.take(Update::Patches(patches), None, 0).expect_err("the last patch does not hold");
+  behind.apply_update(Update::Patches(patches), None, 0).expect_err("the last patch does not hold");
   assert_eq!(behind.held(), held, "a version is held that nobody was told to put in force");
 }
 
--- a/tests/standing_still.rs
+++ b/tests/standing_still.rs
@@ -147,7 +147,7 @@
 #[test]
 fn a_follower_notices_it_whatever_it_hears_first() {
   let moment = |ms: u64| Moment { time: Time(ms), unix_ms: ms };
-  let timing = Timing { beat_ms: 1_000, lease_ttl_ms: 4_000, news_delay_ms: 100, push_delay_ms: 0 };
+  let timing = Timing { heartbeat_ms: 1_000, lease_ttl_ms: 4_000, endpoint_delay_ms: 100, update_delay_ms: 0 };
   let identity = Identity {
     endpoint: endpoint("box", "hall", 8),
     seeds: Vec::new(),
--- a/tests/support/followers.rs
+++ b/tests/support/followers.rs
@@ -210,7 +210,7 @@
       state: EndpointState::Draining,
     };
     let timing =
-      Timing { beat_ms: 1_000, lease_ttl_ms: 4_000, news_delay_ms: 100, push_delay_ms: 0 };
+      Timing { heartbeat_ms: 1_000, lease_ttl_ms: 4_000, endpoint_delay_ms: 100, update_delay_ms: 0 };
     let identity =
       Identity { endpoint, seeds: Vec::new(), share_limits: ShareLimits::default(), timing };
     let seed = index as u64 + self.now;
@@ -414,16 +414,16 @@
 
   fn perform(&mut self, box_id: &BoxId, action: Action) {
     match action {
-      Action::Behind(version) => self.behind.push((box_id.clone(), version)),
+      Action::NewerVersionKnown(version) => self.behind.push((box_id.clone(), version)),
       Action::CallStore { call, request } => self.call_store(box_id, call, request),
       Action::CloseLink { link } => self.close(&(box_id.clone(), link), Some(box_id)),
-      Action::EndpointsNews(_) => {
+      Action::EndpointsUpdated(_) => {
         *self.times_told.entry(box_id.clone()).or_default() += 1;
       }
       Action::EvacuationsChanged(halls) => {
         self.evacuated.insert(box_id.clone(), halls);
       }
-      Action::Refuse { reason, .. } => self.refused.push((box_id.clone(), reason)),
+      Action::ReportRefusal { reason, .. } => self.refused.push((box_id.clone(), reason)),
       Action::Log(text) => self.logged.push(format!("{} {box_id}: {text}", self.now)),
       Action::OpenLink(peer) => self.open(box_id, &peer.box_id),
       Action::RolloutsChanged(traffic) => {
@@ -459,7 +459,7 @@
     if let Message::Update(packed) = &message {
       self.pushed_objects += self.objects_of(packed);
     }
-    if matches!(message, Message::News(_)) {
+    if matches!(message, Message::Endpoints(_)) {
       self.news_messages += 1;
     }
     if let Some((to, link)) = self.links.get(&(from.clone(), link)).cloned() {
--- a/tests/support/world.rs
+++ b/tests/support/world.rs
@@ -509,13 +509,13 @@
   fn perform(&mut self, index: usize, life: u64, action: Action) {
     match action {
       Action::Answer { .. }
-      | Action::Behind(_)
+      | Action::NewerVersionKnown(_)
       | Action::EndpointsChanged
-      | Action::EndpointsNews(_)
+      | Action::EndpointsUpdated(_)
       | Action::EvacuationsChanged(_)
-      | Action::Refuse { .. }
+      | Action::ReportRefusal { .. }
       | Action::RolloutsChanged(_)
-      | Action::StoreWentBack(_)
+      | Action::StoreRestored(_)
       | Action::UnreadableEntry(_) => {}
       Action::Log(text) => self.log.push(format!("{} box-{index}.{life}: {text}", self.now)),
       Action::Apply(configuration) => self.oracle.applied(index, &configuration),
@@ -523,8 +523,8 @@
         self.call_store(Caller::Distributor { call, index, life }, request);
       }
       Action::CloseLink { link } => self.close(index, link),
-      Action::Consult { id, .. } => {
-        let event = Event::Consulted { id, reports: Vec::new() };
+      Action::QueryRecords { id, .. } => {
+        let event = Event::RecordsQueried { id, reports: Vec::new() };
         self.later(1, Happening::Event { event, index, life });
       }
       Action::OpenLink(peer) => self.open(index, life, &peer.box_id),
@@ -585,7 +585,7 @@
     let Some((at, side)) = self.connection_of(index, link) else {
       return;
     };
-    if matches!(message, Message::News(_) | Message::Update(_)) {
+    if matches!(message, Message::Endpoints(_) | Message::Update(_)) {
       self.news_sent += 1;
     }
     let other = self.connections[at].ends[1 - side];
