--- a/src/distribution/action.rs
+++ b/src/distribution/action.rs
@@ -1,24 +1,22 @@
 use super::*;
 
-/// What a [`Distributor`] wants done.
+/// What a [`Distributor`] asks its caller to do.
 #[derive(Clone, Debug)]
 pub enum Action {
-  /// An inquiry of this daemon's operators' side ended.
+  /// Answer an operator's inquiry that was asked on this daemon.
   Answer {
-    /// Boxes that could have answered and did not within the time.
+    /// Number of boxes that did not answer in time.
     missing: usize,
-    /// What is known.
+    /// The collected reports.
     reports: Vec<Report>,
     /// The token of [`Event::Asked`].
     token: u64,
   },
-  /// A newer configuration is in force from now on.
+  /// Put a newer configuration in force.
   Apply(Arc<Configuration>),
-  /// A newer version is known than the one held: what it brings may be missed here.
-  Behind(Version),
   /// Call the store and return the answer as [`Event::StoreAnswered`].
   CallStore {
-    /// Named again in the answer.
+    /// The id of the call, repeated in the answer.
     call: u64,
     /// The request.
     request: StoreRequest,
@@ -28,31 +26,33 @@
     /// The link.
     link: LinkId,
   },
-  /// Look into the daemon's own records and return [`Event::Consulted`].
-  Consult {
-    /// The inquiry.
-    id: InquiryId,
-    /// The question.
-    question: Question,
-  },
   /// The endpoint table changed.
   EndpointsChanged,
-  /// News about some boxes were taken into the endpoint table.
-  EndpointsNews(Vec<Endpoint>),
-  /// Which data halls the operators evacuate changed.
+  /// These endpoints were updated in the endpoint table.
+  EndpointsUpdated(Vec<Endpoint>),
+  /// The set of evacuated data halls changed.
   EvacuationsChanged(BTreeSet<DataHall>),
-  /// Tell the log.
+  /// Write a line to the log.
   Log(String),
+  /// A version newer than the held one is known to exist, so the held configuration may be stale.
+  NewerVersionKnown(Version),
   /// Open a link; [`Event::LinkOpened`] or [`Event::LinkFailed`] follows.
   OpenLink(Peer),
-  /// A configuration in the store was not taken: tell operators.
-  Refuse {
-    /// What is wrong with it.
+  /// Query the daemon's own records and return [`Event::RecordsQueried`].
+  QueryRecords {
+    /// The inquiry.
+    id: InquiryId,
+    /// The question.
+    question: Question,
+  },
+  /// Report to the operators that a configuration in the store was refused.
+  ReportRefusal {
+    /// Why it was refused.
     reason: String,
-    /// Its version, where that much could be read.
+    /// Its version, if it could be read.
     version: Option<Version>,
   },
-  /// Which versions of services get which requests changed.
+  /// The split of traffic between versions of services changed.
   RolloutsChanged(BTreeMap<ServiceName, Traffic>),
   /// Send a message.
   Send {
@@ -61,8 +61,8 @@
     /// The message.
     message: Message,
   },
-  /// The store came back from a copy: tell operators.
-  StoreWentBack(Era),
-  /// The directory holds an entry that cannot be read: tell operators.
+  /// Report to the operators that the store was restored from a backup, which began this era.
+  StoreRestored(Era),
+  /// Report to the operators that the directory holds an entry that cannot be read.
   UnreadableEntry(UnreadableEntry),
 }
--- a/src/distribution/follower/endpoint_updates.rs
+++ b/src/distribution/follower/endpoint_updates.rs
@@ -30,7 +30,7 @@
   /// batched for a tick, so that each neighbour gets them in one message.
   pub(super) fn endpoints_merged(&mut self, endpoints: &[Endpoint], from: Option<LinkId>) {
     for endpoint in endpoints {
-      self.watchers.note(endpoint);
+      self.watchers.update(endpoint);
       let unsent = UnsentEndpoint { endpoint: endpoint.clone(), from };
       self.unsent_endpoints.insert(endpoint.peer.box_id.clone(), unsent);
     }
@@ -49,13 +49,13 @@
     self.endpoints_sent_at = self.now.time;
     let endpoints: Vec<Endpoint> = unsent.values().map(|one| one.endpoint.clone()).collect();
     self.note_versions(&endpoints);
-    self.act(Action::EndpointsNews(endpoints));
+    self.act(Action::EndpointsUpdated(endpoints));
     let links: Vec<LinkId> = self.links.keys().copied().collect();
     for link in links {
       let endpoints = unsent.values().filter(|one| one.from != Some(link));
       let endpoints: Vec<Endpoint> = endpoints.map(|one| one.endpoint.clone()).collect();
       if !endpoints.is_empty() {
-        self.send(link, Message::News(endpoints));
+        self.send(link, Message::Endpoints(endpoints));
       }
     }
   }
--- a/src/distribution/follower/evacuations.rs
+++ b/src/distribution/follower/evacuations.rs
@@ -27,7 +27,7 @@
   pub(super) fn take_evacuations(&mut self, received: &[Evacuation], from: Option<LinkId>) {
     let mut fresh = Vec::new();
     for one in received {
-      if self.evacuations.hear(one) {
+      if self.evacuations.merge(one) {
         let order = if one.is_evacuated { "evacuate" } else { "end the evacuation of" };
         self.log(format!("the operators {order} {} at revision {}", one.data_hall, one.revision));
         fresh.push(one.clone());
--- a/src/distribution/follower/mod.rs
+++ b/src/distribution/follower/mod.rs
@@ -4,7 +4,7 @@
 
 use {
   self::{endpoint_updates::UnsentEndpoint, reconnects::Reconnect},
-  super::{inquiry::Asker, watchers::Watchers},
+  super::{inquiries::Asker, watchers::Watchers},
 };
 
 mod directory;
@@ -224,7 +224,7 @@
     if paused_ms > Self::PROCESS_PAUSE_MIN_MS {
       self.log(format!("the process was paused for {paused_ms} ms: querying the store again"));
       self.confirmed_at = None;
-      self.registration.wake();
+      self.registration.renew_at_once();
       self.directory_at = self.now.time;
       self.watch = WatchPhase::Idle { after: self.watch_revision() };
     }
@@ -262,7 +262,7 @@
 
   /// Whether this box is a watcher of the store for its data hall.
   fn is_watcher(&self) -> bool {
-    self.watchers.is_of_hall(&self.own.peer.box_id)
+    self.watchers.is_in_own_hall(&self.own.peer.box_id)
   }
 
   /// Whether the whole fleet is starting and its boxes are still coming up. Choosing watchers from
@@ -363,7 +363,7 @@
     match event {
       Event::Accepted { .. } => {}
       Event::Asked { question, token } => self.operator_asked(&question, token),
-      Event::Consulted { id, reports } => self.inquiries.consulted(id, reports),
+      Event::RecordsQueried { id, reports } => self.inquiries.consulted(id, reports),
       Event::EndpointServes { service, slots, software, starts } => {
         self.change_service(service, software, slots, starts);
       }
--- a/src/distribution/follower/neighbours.rs
+++ b/src/distribution/follower/neighbours.rs
@@ -47,16 +47,16 @@
   }
 
   fn send_heartbeat(&mut self, link: LinkId) {
-    let heartbeat = Beat {
+    let heartbeat = Heartbeat {
       applied_unix_ms: None,
-      endpoints: self.endpoints.fingerprint(),
+      endpoints_fingerprint: self.endpoints.fingerprint(),
       era: self.era.unwrap_or_default(),
       is_relay: self.is_served_watcher(),
       revision: self.watch_revision().filter(|_| self.is_served_watcher()),
       store_age_ms: self.own_store_age_ms(),
       version: self.catalog.held(),
     };
-    self.send(link, Message::Beat(heartbeat));
+    self.send(link, Message::Heartbeat(heartbeat));
   }
 
   /// Whether this daemon currently watches the store, and the store serves it.
@@ -84,7 +84,7 @@
   pub(super) fn has_fresh_neighbour(&self) -> bool {
     let now = self.now.time;
     self.links.values().any(|link| {
-      let age_ms = link.store_age_ms.map(|age_ms| age_ms + now.since_ms(link.heard_at));
+      let age_ms = link.store_age_ms.map(|age_ms| age_ms + now.since_ms(link.last_received_at));
       let is_source = link.role == LinkRole::Upstream && link.is_relay;
       is_source && age_ms.is_some_and(|age_ms| age_ms <= Self::FRESH_MS)
     })
@@ -95,7 +95,7 @@
     let silent: Vec<LinkId> = self
       .links
       .iter()
-      .filter(|(_, link)| now.since_ms(link.heard_at) > Self::SILENCE_MS)
+      .filter(|(_, link)| now.since_ms(link.last_received_at) > Self::SILENCE_MS)
       .map(|(id, _)| *id)
       .collect();
     for link in silent {
@@ -129,7 +129,7 @@
     let is_cut_off = self.failing_since.is_some();
     let rank = |peer: &Peer| {
       let is_far = peer.data_hall != self.own.peer.data_hall;
-      (is_far != is_cut_off, !self.watchers.is_of_hall(&peer.box_id))
+      (is_far != is_cut_off, !self.watchers.is_in_own_hall(&peer.box_id))
     };
     let Some(best) = others.iter().map(|peer| rank(peer)).min() else {
       return;
@@ -151,14 +151,13 @@
         && !self.avoided.contains_key(*box_id)
     };
     if self.upstreams().len() < Self::NEIGHBOURS
-      || !self.watchers.of_hall().any(|one| is_free(&one))
+      || !self.watchers.own_hall_watchers().any(|one| is_free(&one))
     {
       return;
     }
-    let other = self
-      .links
-      .iter()
-      .find(|(_, link)| link.role == LinkRole::Upstream && !self.watchers.is_of_hall(&link.peer));
+    let other = self.links.iter().find(|(_, link)| {
+      link.role == LinkRole::Upstream && !self.watchers.is_in_own_hall(&link.peer)
+    });
     if let Some(link) = other.map(|(id, _)| *id) {
       self.close_link(link);
     }
@@ -187,9 +186,9 @@
     }
     let subscribe = Subscribe {
       applied_unix_ms: 0,
-      desperate: true,
+      accepts_any_daemon: true,
       endpoint: self.own.clone(),
-      endpoints: self.endpoints.fingerprint(),
+      endpoints_fingerprint: self.endpoints.fingerprint(),
       relay: false,
       version: self.catalog.held(),
     };
@@ -228,14 +227,14 @@
     let Some(known) = self.links.get_mut(&link) else {
       return;
     };
-    known.heard_at = now;
+    known.last_received_at = now;
     match message {
       Message::Answer { id, reports } => self.inquiries.answered(id, link, reports),
       Message::Ask { hops: _, id, question } => self.neighbour_asked(link, id, &question),
-      Message::Beat(heartbeat) => self.heartbeat_received(link, &heartbeat),
+      Message::Heartbeat(heartbeat) => self.heartbeat_received(link, &heartbeat),
       Message::Evacuations(received) => self.take_evacuations(&received, Some(link)),
       Message::Evidence(received) => self.evidence_received(Some(link), received),
-      Message::News(endpoints) => self.endpoints_received(link, &endpoints),
+      Message::Endpoints(endpoints) => self.endpoints_received(link, &endpoints),
       Message::Refused { reason } => self.update_refused(link, &reason),
       Message::Rollout(update) => self.rollout_received(link, &update),
       Message::Subscribe(subscribe) => self.subscription_requested(link, &subscribe),
@@ -250,9 +249,9 @@
       known.role = LinkRole::Downstream;
       known.version = subscribe.version;
     }
-    if self.endpoints.fingerprint() != subscribe.endpoints {
+    if self.endpoints.fingerprint() != subscribe.endpoints_fingerprint {
       let present: Vec<Endpoint> = self.endpoints.present().cloned().collect();
-      self.send(link, Message::News(present));
+      self.send(link, Message::Endpoints(present));
     }
     self.endpoints_received(link, std::slice::from_ref(&subscribe.endpoint));
     self.send_evacuations_to(link);
@@ -265,7 +264,7 @@
     }
   }
 
-  fn heartbeat_received(&mut self, link: LinkId, heartbeat: &Beat) {
+  fn heartbeat_received(&mut self, link: LinkId, heartbeat: &Heartbeat) {
     if heartbeat.era > self.era.unwrap_or_default() {
       self.note_era(heartbeat.era);
     }
@@ -281,7 +280,7 @@
     if is_served_again && known.role == LinkRole::Upstream {
       // The store was unreachable: this box's lease may have expired meanwhile, and its entry must
       // be back soon.
-      self.registration.wake();
+      self.registration.renew_at_once();
     }
     let Some(known) = self.links.get_mut(&link) else {
       return;
@@ -295,7 +294,7 @@
       return;
     };
     let is_known_long = now.since_ms(known.opened_at) > Self::STALE_MS;
-    self.compare_fingerprints(link, heartbeat.endpoints);
+    self.compare_fingerprints(link, heartbeat.endpoints_fingerprint);
     let held = heartbeat.version.map(|(version, _)| version);
     if let Some(version) = held {
       self.note_newer(version);
--- a/src/distribution/follower/reconnects.rs
+++ b/src/distribution/follower/reconnects.rs
@@ -101,7 +101,7 @@
   /// Whether this daemon is not cut off itself: the store serves it, and other boxes send to it.
   fn is_connected(&self) -> bool {
     let now = self.now.time;
-    let is_heard = |link: &Link| now.since_ms(link.heard_at) <= Self::SILENCE_MS;
+    let is_heard = |link: &Link| now.since_ms(link.last_received_at) <= Self::SILENCE_MS;
     self.failing_since.is_none() && self.links.values().any(is_heard)
   }
 
--- a/src/distribution/follower/silent_watches.rs
+++ b/src/distribution/follower/silent_watches.rs
@@ -66,7 +66,7 @@
   /// Subscribes a watcher to the next reachable watcher of the fleet, and to no other box.
   pub(super) fn subscribe_to_next_watcher(&mut self) {
     let is_free = |peer: &&Peer| !self.avoided.contains_key(&peer.box_id);
-    let next = self.watchers.after(&self.own.peer.box_id).find(is_free);
+    let next = self.watchers.sources_for(&self.own.peer.box_id).find(is_free);
     let Some(next) = next.cloned() else {
       return;
     };
--- a/src/distribution/follower/store_watch.rs
+++ b/src/distribution/follower/store_watch.rs
@@ -63,7 +63,7 @@
     let is_recent =
       self.contact_at.is_some_and(|at| self.now.time.since_ms(at) <= Self::CONTACT_MS);
     if !is_recent {
-      self.registration.wake();
+      self.registration.renew_at_once();
     }
     is_recent
   }
@@ -164,7 +164,7 @@
     }
     let now = self.now.time;
     match self.registration.answered(now, call, result, &mut self.rng) {
-      Some(Registered::Lapsed) => {
+      Some(RegistrationResult::LeaseExpired) => {
         self.log("the lease of this box's entry expired: registering again");
         self.announce();
         return;
@@ -219,7 +219,7 @@
     {
       if self.failing_since.is_none() {
         self.failing_since = Some(now);
-        self.registration.wake();
+        self.registration.renew_at_once();
         // The call, its duration and its progress distinguish a silent store from a saturated link.
         let purpose = self.call_purpose(call);
         self.log(format!("the store does not serve this box, asked for {purpose}: {err}"));
@@ -283,7 +283,7 @@
 
   /// Delays the next watch so that changes in quick succession cost one call.
   fn batch_changes(&mut self, after: Revision) {
-    let until = self.now.time.after(self.identity.timing.news_delay_ms);
+    let until = self.now.time.after(self.identity.timing.endpoint_delay_ms);
     self.watch = WatchPhase::Batching { after, until };
   }
 
@@ -321,7 +321,7 @@
     if self.catalog.version() >= Some(version) {
       return;
     }
-    match self.catalog.take_whole(configuration, self.now.unix_ms) {
+    match self.catalog.apply_whole(configuration, self.now.unix_ms) {
       Ok(()) => self.publish_configuration(),
       Err(err) => self.refuse(err.to_string(), Some(version)),
     }
@@ -329,7 +329,7 @@
 
   fn refuse_unreadable(&mut self, unreadable: Unreadable) {
     let Unreadable { reason, version } = unreadable.clone();
-    self.catalog.note_refusal(self.now.unix_ms, Error::Unreadable(unreadable));
+    self.catalog.record_refusal(self.now.unix_ms, Error::Unreadable(unreadable));
     self.refuse(reason, version);
   }
 
@@ -341,7 +341,7 @@
     let log_at = now.after(Self::REFUSED_LOG_MS);
     let held = self.catalog.version();
     self.refused = Some(RefusedVersion { held, log_at, reason: reason.clone(), since, version });
-    self.act(Action::Refuse { reason, version });
+    self.act(Action::ReportRefusal { reason, version });
     if let Some(version) = version {
       self.note_newer(version);
     }
