--- a/src/requests/dispatch.rs
+++ b/src/requests/dispatch.rs
@@ -331,7 +331,7 @@
     let is_elsewhere = box_id != *context.own_box;
     let check_at = is_elsewhere.then(|| context.now.after(check_interval_ms));
     self.running.push(RunningTry { box_id, check_at, check_interval_ms, id, may_queue });
-    let (connect_ms, verdicts) = (self.connect_ms(context.now), choice.told_verdicts());
+    let (connect_ms, verdicts) = (self.connect_ms(context.now), choice.relevant_verdicts());
     DispatchStep::Try(Box::new(TryOrder { connect_ms, endpoint, id, may_queue, verdicts }))
   }
 
--- a/src/requests/mod.rs
+++ b/src/requests/mod.rs
@@ -1,6 +1,7 @@
-//! The decisions about requests: routing, choice of a backend server, limits, retries, claims.
+//! Decides about requests: routing, load balancing, limits, retries, and claims on idempotency
+//! keys.
 //!
-//! All of it is pure. `crate::proxy` carries the decisions out.
+//! The code does no I/O and reads no clock. `crate::proxy` acts on the decisions.
 
 use super::*;
 
@@ -14,23 +15,20 @@
 pub use self::{
   answer_budget::AnswerBudget,
   answer_sizes::AnswerSizes,
-  arrival::Arrival,
-  arrival_book::{ArrivalBook, Whereabouts},
-  at_work::AtWork,
   attempt::Attempt,
   attempt_outcome::AttemptOutcome,
   backend_monitor::BackendMonitor,
   balancer::{Balancer, Choice},
-  body_turns::BodyTurns,
+  body_queue::BodyQueue,
   caller_class::CallerClass,
-  caller_times::CallerTimes,
+  caller_timeouts::CallerTimeouts,
   claim::Claim,
   claim_outcome::ClaimOutcome,
   claim_record::ClaimRecord,
   claim_state::ClaimState,
   claim_step::ClaimStep,
   claim_ticket::ClaimTicket,
-  cold_gate::ColdGate,
+  cold_start_limiter::ColdStartLimiter,
   completion::Completion,
   condition::Condition,
   crash_detector::{CrashDetector, RunId},
@@ -40,11 +38,13 @@
   dispatch_event::DispatchEvent,
   dispatch_step::{DispatchStep, TryOrder},
   limiter::Limiter,
+  limiter_decision::LimiterDecision,
   link_budget::LinkBudget,
   link_queue::LinkQueue,
   open_exchanges::{ExchangeId, OpenAnswer, OpenExchange, OpenExchanges, Sender},
   quarantine::{Quarantine, QuarantineChange, Suspect},
   quarantine_status::QuarantineStatus,
+  received_attempts::{AttemptStatus, ReceivedAttempts},
   request_history::RequestHistory,
   request_key::RequestKey,
   request_profile::RequestProfile,
@@ -53,6 +53,7 @@
   route_match::RouteMatch,
   router::Router,
   run_end::RunEnd,
+  running_requests::RunningRequests,
   selection_criteria::SelectionCriteria,
   splitter::Splitter,
   stop_limit::StopLimit,
@@ -64,23 +65,20 @@
 
 mod answer_budget;
 mod answer_sizes;
-mod arrival;
-mod arrival_book;
-mod at_work;
 mod attempt;
 mod attempt_outcome;
 mod backend_monitor;
 mod balancer;
-mod body_turns;
+mod body_queue;
 mod caller_class;
-mod caller_times;
+mod caller_timeouts;
 mod claim;
 mod claim_outcome;
 mod claim_record;
 mod claim_state;
 mod claim_step;
 mod claim_ticket;
-mod cold_gate;
+mod cold_start_limiter;
 mod completion;
 mod condition;
 mod crash_detector;
@@ -90,11 +88,13 @@
 mod dispatch_event;
 mod dispatch_step;
 mod limiter;
+mod limiter_decision;
 mod link_budget;
 mod link_queue;
 mod open_exchanges;
 mod quarantine;
 mod quarantine_status;
+mod received_attempts;
 mod request_history;
 mod request_key;
 mod request_profile;
@@ -103,6 +103,7 @@
 mod route_match;
 mod router;
 mod run_end;
+mod running_requests;
 mod selection_criteria;
 mod splitter;
 mod stop_limit;
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -1,7 +1,7 @@
-//! What a cold backend server gets: no more in any second than it can take, whoever sends.
+//! Tests that a cold backend server gets no more requests in any second than its warm-up rate.
 
 use ferryyoke::{
-  requests::ColdGate,
+  requests::ColdStartLimiter,
   values::{Rate, Time},
 };
 
@@ -9,33 +9,33 @@
   Rate::per_s(requests).expect("a rate")
 }
 
-/// Offers a request each `every_ms` for `for_ms`; returns when each went to the backend server.
-fn offer(gate: &mut ColdGate, every_ms: u64, for_ms: u64, rate: Rate) -> Vec<Time> {
+/// Sends a request every `every_ms` for `for_ms`. Returns when each passed to the backend server.
+fn offer(gate: &mut ColdStartLimiter, every_ms: u64, for_ms: u64, rate: Rate) -> Vec<Time> {
   let mut passed = Vec::new();
   for now in (0..for_ms).step_by(usize::try_from(every_ms).expect("small")).map(Time) {
     if gate.wait_ms(now, rate) == 0 {
-      gate.pass(now);
+      gate.record_passed(now);
       passed.push(now);
     }
   }
   passed
 }
 
-/// The pattern of a data hall that comes back as a whole: all callers find the new backend servers empty.
+/// A whole data hall restarts, and all callers send to its idle backend servers at once.
 #[test]
-fn a_crowd_that_finds_a_cold_backend_server_passes_at_its_rate() {
-  let mut gate = ColdGate::default();
+fn a_burst_at_a_cold_backend_server_passes_at_its_rate() {
+  let mut gate = ColdStartLimiter::default();
   let passed = offer(&mut gate, 2, 5_000, rate(13.0));
   assert_eq!(passed.len(), 5 * 13);
   for window in passed.windows(14) {
-    assert!(window[13].since_ms(window[0]) >= 1_000, "14 within a second: {window:?}");
+    assert!(window[13].since_ms(window[0]) >= 1_000, "14 requests within a second: {window:?}");
   }
 }
 
 #[test]
-fn what_went_there_before_it_turned_cold_counts() {
-  let mut gate = ColdGate::default();
-  (0..40).for_each(|index| gate.pass(Time(index * 10)));
+fn requests_passed_before_it_turned_cold_are_counted() {
+  let mut gate = ColdStartLimiter::default();
+  (0..40).for_each(|index| gate.record_passed(Time(index * 10)));
   assert_eq!(gate.load_percent(Time(400), rate(10.0)), 400);
   let wait_ms = gate.wait_ms(Time(400), rate(10.0));
   assert_eq!(wait_ms, 900, "the thirty-first leaves the window at 1300 ms");
@@ -43,9 +43,9 @@
 }
 
 #[test]
-fn a_rate_below_one_a_second_lets_one_pass() {
-  let mut gate = ColdGate::default();
+fn a_rate_below_one_per_second_lets_one_request_pass() {
+  let mut gate = ColdStartLimiter::default();
   assert_eq!(gate.wait_ms(Time(0), rate(0.2)), 0);
-  gate.pass(Time(0));
+  gate.record_passed(Time(0));
   assert_eq!(gate.wait_ms(Time(1), rate(0.2)), 999);
 }
