--- a/src/organisations/mod.rs
+++ b/src/organisations/mod.rs
@@ -1,8 +1,9 @@
 //! Organisations: identifies a caller's organisation by its key and enforces fleet-wide rate limits.
 //!
-//! This module does no I/O. A rate limit applies to all daemons together. One daemon, found by a hash over the present
-//! boxes, owns the token ledger of an organisation. The others draw tokens from it: one per request under low demand,
-//! and a prefetch under high demand. A daemon that can't reach the ledger spends an equal share of the limit.
+//! This module does no I/O. A rate limit applies to all daemons together. One daemon owns the token
+//! ledger of an organisation; a hash over the present boxes selects it. The others draw tokens from
+//! it: one per request under low demand, and a prefetch under high demand. A daemon that can't reach
+//! the ledger spends an equal share of the limit.
 
 use super::*;
 
