--- a/src/proxy/reserved_answer.rs
+++ b/src/proxy/answer_reservation.rs
@@ -2,22 +2,22 @@
 
 /// Reserved capacity of the box's network link for the answer to another box, until the answer's
 /// size is known. Released if there is no answer.
-pub(super) struct ReservedAnswer {
+pub(super) struct AnswerReservation {
   /// `None` once the answer's size is known.
   expected_bytes: Option<u64>,
   shared: Rc<Shared>,
 }
 
-impl ReservedAnswer {
+impl AnswerReservation {
   /// Reserves capacity for the expected size of the answer, or declines the request.
   pub(super) fn reserve(
     shared: &Rc<Shared>,
-    forwarded: &Forwarded,
+    forwarded: &ForwardedRequest,
   ) -> std::result::Result<Self, AttemptOutcome> {
     let (now, expected_bytes) = (shared.now().time, forwarded.answer_bytes);
-    let patience_ms = forwarded.urgency.wait_until.since_ms(now);
+    let wait_max_ms = forwarded.urgency.wait_until.since_ms(now);
     if let Some(budget) = shared.answer_budget.borrow_mut().as_mut() {
-      let reserved = budget.reserve(now, expected_bytes, patience_ms, forwarded.insists);
+      let reserved = budget.reserve(now, expected_bytes, wait_max_ms, forwarded.may_queue);
       reserved.map_err(|retry_after_ms| {
         AttemptOutcome::declined(
           "the box's network link is busy with other answers",
@@ -44,7 +44,7 @@
   }
 }
 
-impl Drop for ReservedAnswer {
+impl Drop for AnswerReservation {
   fn drop(&mut self) {
     self.settle_with(Some(0));
   }
--- a/src/proxy/arrivals.rs
+++ b/src/proxy/arrivals.rs
@@ -3,42 +3,42 @@
 
 use super::*;
 
-use super::{egress::not_of_this_fleet, forward::read_peer_answer};
+use super::{egress::invalid_seal, forward::read_peer_answer};
 
 /// Largest answer in bytes that is retained, so that it can be sent again if it was lost in
 /// transit.
-const KEPT_BYTES_MAX: usize = 16_384;
+const RETAINED_ANSWER_BYTES_MAX: usize = 16_384;
 
 /// Timeout in milliseconds of a query about a try; see [`ArrivalBook::ask`].
-const ASK_TIMEOUT_MS: u64 = 1_000;
+const QUERY_TIMEOUT_MS: u64 = 1_000;
 
 /// A try received from another daemon. If it is dropped before it ends, its sender disconnected.
-pub(super) struct ArrivedTry {
+pub(super) struct ReceivedTry {
   key: Option<TryKey>,
   shared: Rc<Shared>,
 }
 
-impl ArrivedTry {
+impl ReceivedTry {
   /// Records a try that arrived. Returns `None` if it must not run because its sender was already
   /// told that it never arrived.
-  pub(super) fn note(shared: &Rc<Shared>, key: TryKey) -> Option<Self> {
+  pub(super) fn record(shared: &Rc<Shared>, key: TryKey) -> Option<Self> {
     let may_run = shared.arrivals.borrow_mut().arrive(shared.now().time, key);
     may_run.then(|| Self { key: Some(key), shared: shared.clone() })
   }
 
   /// Retains a small answer to a request that may not run again, so that its sender can ask for it.
   /// Other requests are retried at another box instead.
-  pub(super) async fn keep(
+  pub(super) async fn retain_answer(
     mut self,
-    forwarded: &Forwarded,
+    forwarded: &ForwardedRequest,
     response: Response<AnyBody>,
   ) -> Response<AnyBody> {
     let size = response.body().size_hint().exact();
-    if forwarded.repeatable || size.is_none_or(|size| size > KEPT_BYTES_MAX as u64) {
+    if forwarded.repeatable || size.is_none_or(|size| size > RETAINED_ANSWER_BYTES_MAX as u64) {
       return response.map(|body| body.keeping(self));
     }
     let (head, body) = response.into_parts();
-    match web::collect(body, KEPT_BYTES_MAX).await {
+    match web::collect(body, RETAINED_ANSWER_BYTES_MAX).await {
       Ok(body) => {
         self.end(Some(Rc::new(KeptAnswer::of(&head, &body))));
         Response::from_parts(head, web::full(body))
@@ -57,7 +57,7 @@
   }
 }
 
-impl Drop for ArrivedTry {
+impl Drop for ReceivedTry {
   fn drop(&mut self) {
     self.end(None);
   }
@@ -77,24 +77,24 @@
     return web::text(StatusCode::BAD_REQUEST, "a query about a try lacks a header");
   };
   if !shared.is_sealed(&sealed_text(key, age_ms), &seal) {
-    return not_of_this_fleet(shared).response(&shared.names.request_id(), false);
+    return invalid_seal(shared).response(&shared.names.request_id(), false);
   }
   let found = shared.arrivals.borrow_mut().ask(shared.now().time, key, age_ms);
-  let told = told(&found);
+  let status = status_name(&found);
   info!(
     shared.log.logger, #Log::REQUEST, "a daemon asked about a try";
-    "try" => key.0, "age_ms" => age_ms, "found" => told
+    "try" => key.0, "age_ms" => age_ms, "found" => status
   );
   let mut response = match found {
     Whereabouts::Answered(kept) => kept.response(),
     _ => web::text(StatusCode::OK, ""),
   };
-  headers::set(response.headers_mut(), headers::ARRIVAL, told);
+  headers::set(response.headers_mut(), headers::ARRIVAL, status);
   response
 }
 
 /// Returns the value of the arrival header for the status of a try.
-fn told<A>(found: &Whereabouts<A>) -> &'static str {
+fn status_name<A>(found: &Whereabouts<A>) -> &'static str {
   match found {
     Whereabouts::Answered(_) => ANSWERED,
     Whereabouts::Ended => ENDED,
@@ -109,38 +109,43 @@
 const NEVER_ARRIVED: &str = "never-arrived";
 
 /// Result of a query about a try.
-pub(super) enum Found {
+pub(super) enum QueryResult {
   /// The try ended with this answer of its backend server, or this refusal of its daemon.
   Answered(AttemptResult),
-  /// The try ended and its answer was already sent.
+  /// The try ended a while ago; its answer was sent and is not retained.
   Ended,
   /// The try has not run and never will.
   NeverArrived,
   /// The try may still run, or its status is unknown.
-  StillOut,
+  StillPending,
 }
 
 /// Asks the box of a try whether the try, sent `age_ms` milliseconds ago, arrived there.
-pub(super) async fn ask(shared: &Rc<Shared>, order: &TryOrder, key: TryKey, age_ms: u64) -> Found {
+pub(super) async fn ask(
+  shared: &Rc<Shared>,
+  order: &TryOrder,
+  key: TryKey,
+  age_ms: u64,
+) -> QueryResult {
   let asked_at = shared.now().time;
-  let limit = Duration::from_millis(ASK_TIMEOUT_MS);
-  let asking = exchange(shared, order, key, age_ms + ASK_TIMEOUT_MS);
-  let answered = timer::timeout(limit, asking).await;
+  let limit = Duration::from_millis(QUERY_TIMEOUT_MS);
+  let query = exchange(shared, order, key, age_ms + QUERY_TIMEOUT_MS);
+  let answered = timer::timeout(limit, query).await;
   // If this process was paused meanwhile, the answer may be older than the query allows.
-  let is_late = shared.now().time.since_ms(asked_at) > ASK_TIMEOUT_MS;
+  let is_late = shared.now().time.since_ms(asked_at) > QUERY_TIMEOUT_MS;
   let Some(mut response) = answered.ok().and_then(Result::ok).filter(|_| !is_late) else {
-    return Found::StillOut;
+    return QueryResult::StillPending;
   };
-  let told = response.headers_mut().remove(headers::ARRIVAL);
-  match told.as_ref().and_then(|told| told.to_str().ok()) {
+  let status = response.headers_mut().remove(headers::ARRIVAL);
+  match status.as_ref().and_then(|status| status.to_str().ok()) {
     Some(NEVER_ARRIVED) => {
       // Other idle connections may be dead too, and the next tries would be lost on them.
       shared.peer_pool.forget_idle();
-      Found::NeverArrived
+      QueryResult::NeverArrived
     }
-    Some(ANSWERED) => Found::Answered(read_peer_answer(response, &mut None).await),
-    Some(ENDED) => Found::Ended,
-    _ => Found::StillOut,
+    Some(ANSWERED) => QueryResult::Answered(read_peer_answer(response, &mut None).await),
+    Some(ENDED) => QueryResult::Ended,
+    _ => QueryResult::StillPending,
   }
 }
 
--- a/src/proxy/held_claim.rs
+++ b/src/proxy/claimed_run.rs
@@ -6,13 +6,13 @@
 const RESULT_BYTES_MAX: usize = 8 << 20;
 
 /// Largest result in bytes that the claim stores for replay to repeated requests.
-const RECORDED_BYTES_MAX: usize = 65_536;
+const REPLAYED_BYTES_MAX: usize = 65_536;
 
 /// Milliseconds for which the answer to the caller waits until the result is recorded.
-const RECORD_PATIENCE_MS: u64 = 1_000;
+const RECORD_TIMEOUT_MS: u64 = 1_000;
 
 /// Milliseconds for which recording is retried in the background after the answer was sent.
-const RECORD_STUBBORN_MS: u64 = 600_000;
+const BACKGROUND_TIMEOUT_MS: u64 = 600_000;
 
 /// Retry delay in milliseconds for a repeated request whose first run has not ended.
 const RUNNING_RETRY_MS: u64 = 500;
@@ -28,7 +28,7 @@
 /// Claims the key, runs the request if the claim succeeds, and records the result.
 pub async fn run(
   shared: &Rc<Shared>,
-  forwarded: Forwarded,
+  forwarded: ForwardedRequest,
   ticket: ClaimTicket,
   body: Bytes,
   attempts: &mut Vec<Attempt>,
@@ -36,19 +36,19 @@
   let now = shared.now();
   let mut claim = Claim::new(ticket, forwarded.deadline, now.unix_ms, shared.make_seed());
   let step = claim.take();
-  let settlement = drive(shared, &mut claim, step).await;
-  let (name, answer) = match settlement {
+  let outcome = settle(shared, &mut claim, step).await;
+  let (name, answer) = match outcome {
     ClaimOutcome::Held(revision) => {
       let answer = run_held(shared, &forwarded, claim, revision, body, attempts).await;
       ("held", answer)
     }
     ClaimOutcome::Mismatch => {
       let reason = "the key was used before with another request: use a new key";
-      ("mismatch", Err(Refusal::wrong(StatusCode::UNPROCESSABLE_ENTITY, reason)))
+      ("mismatch", Err(Refusal::permanent(StatusCode::UNPROCESSABLE_ENTITY, reason)))
     }
-    ClaimOutcome::Repeated(state) => ("repeated", repeat(&forwarded, state)),
+    ClaimOutcome::Repeated(state) => ("repeated", answer_repeat(&forwarded, state)),
     ClaimOutcome::NotRun { reason } => {
-      give_back(shared, claim);
+      release_in_background(shared, claim);
       ("not taken", Err(Refusal::not_run(StatusCode::SERVICE_UNAVAILABLE, reason, 1_000)))
     }
     ClaimOutcome::Recorded | ClaimOutcome::Unrecorded { .. } => (
@@ -61,19 +61,19 @@
 
 async fn run_held(
   shared: &Rc<Shared>,
-  forwarded: &Forwarded,
+  forwarded: &ForwardedRequest,
   claim: Claim,
   revision: Revision,
   body: Bytes,
   attempts: &mut Vec<Attempt>,
 ) -> std::result::Result<Response<AnyBody>, Refusal> {
-  let answer = forward::forward(shared, forwarded, RequestBody::Held(body), attempts).await;
+  let answer = forward::forward(shared, forwarded, RequestBody::Buffered(body), attempts).await;
   let whole = match answer {
-    Ok(response) => hold(response).await,
+    Ok(response) => collect_answer(response).await,
     Err(outcome) => Err(outcome),
   };
   let state = match &whole {
-    Ok((head, body)) => done(head, body),
+    Ok((head, body)) => completed_state(head, body),
     Err(AttemptOutcome::NotRun { .. }) => ClaimState::Released,
     Err(outcome) => ClaimState::Unknown { reason: outcome.to_string() },
   };
@@ -83,7 +83,7 @@
 }
 
 /// Buffers the complete answer of a backend server.
-async fn hold(
+async fn collect_answer(
   response: Response<AnyBody>,
 ) -> std::result::Result<(http::response::Parts, Bytes), AttemptOutcome> {
   let (head, body) = response.into_parts();
@@ -94,8 +94,8 @@
   Ok((head, body))
 }
 
-fn done(head: &http::response::Parts, body: &Bytes) -> ClaimState {
-  let text = std::str::from_utf8(body).ok().filter(|text| text.len() <= RECORDED_BYTES_MAX);
+fn completed_state(head: &http::response::Parts, body: &Bytes) -> ClaimState {
+  let text = std::str::from_utf8(body).ok().filter(|text| text.len() <= REPLAYED_BYTES_MAX);
   ClaimState::Done {
     body: text.map(ToString::to_string),
     content_type: headers::text(&head.headers, "content-type").map(ToString::to_string),
@@ -107,17 +107,17 @@
 /// background so that the caller gets the answer.
 async fn record(shared: &Rc<Shared>, mut claim: Claim, state: ClaimState, revision: Revision) {
   let now = shared.now();
-  let deadline = now.time.after(RECORD_PATIENCE_MS);
+  let deadline = now.time.after(RECORD_TIMEOUT_MS);
   let step = claim.record(state.clone(), revision, deadline, now.unix_ms);
-  if drive(shared, &mut claim, step).await == ClaimOutcome::Recorded {
+  if settle(shared, &mut claim, step).await == ClaimOutcome::Recorded {
     return;
   }
   let shared = shared.clone();
   monoio::spawn(async move {
     let now = shared.now();
-    let deadline = now.time.after(RECORD_STUBBORN_MS);
+    let deadline = now.time.after(BACKGROUND_TIMEOUT_MS);
     let step = claim.record(state, revision, deadline, now.unix_ms);
-    if let ClaimOutcome::Unrecorded { reason } = drive(&shared, &mut claim, step).await {
+    if let ClaimOutcome::Unrecorded { reason } = settle(&shared, &mut claim, step).await {
       warn!(
         shared.log.logger, "the result of a claimed request could not be recorded";
         "reason" => reason
@@ -128,18 +128,18 @@
 
 /// Releases, in the background, a claim that may or may not be in the store, so that a later
 /// request with the key may run.
-fn give_back(shared: &Rc<Shared>, mut claim: Claim) {
+fn release_in_background(shared: &Rc<Shared>, mut claim: Claim) {
   let shared = shared.clone();
   monoio::spawn(async move {
     let now = shared.now();
-    let step = claim.release(now.time.after(RECORD_STUBBORN_MS), now.unix_ms);
-    drive(&shared, &mut claim, step).await;
+    let step = claim.release(now.time.after(BACKGROUND_TIMEOUT_MS), now.unix_ms);
+    settle(&shared, &mut claim, step).await;
   });
 }
 
 /// Returns the answer to a repeated request with the same key.
-fn repeat(
-  forwarded: &Forwarded,
+fn answer_repeat(
+  forwarded: &ForwardedRequest,
   state: ClaimState,
 ) -> std::result::Result<Response<AnyBody>, Refusal> {
   match state {
@@ -170,7 +170,7 @@
 }
 
 /// Executes the steps of a claim until its outcome is known.
-async fn drive(shared: &Shared, claim: &mut Claim, first: ClaimStep) -> ClaimOutcome {
+async fn settle(shared: &Shared, claim: &mut Claim, first: ClaimStep) -> ClaimOutcome {
   let mut step = first;
   loop {
     step = match step {
@@ -178,7 +178,7 @@
         let result = shared.call_store(request).await;
         claim.answered(shared.now().time, result)
       }
-      ClaimStep::Settled(settlement) => return settlement,
+      ClaimStep::Settled(outcome) => return outcome,
       ClaimStep::Wait { pause_ms } => {
         timer::sleep(Duration::from_millis(pause_ms)).await;
         claim.resumed()
--- a/src/proxy/egress.rs
+++ b/src/proxy/egress.rs
@@ -3,9 +3,9 @@
 use super::*;
 
 use super::{
-  arrivals::ArrivedTry,
-  carry::too_late,
-  forward::{CONTINUE_BYTES, failed},
+  arrivals::ReceivedTry,
+  forward::{EXPECT_CONTINUE_BYTES, failed},
+  ingress::too_late,
 };
 
 /// Serves a request that another daemon sent: a forwarded request, a query about a try, or a draw
@@ -17,39 +17,40 @@
     return arrivals::answer(&shared, &head.headers);
   }
   if head.headers.contains_key(headers::DRAW) {
-    return membership::answer(&shared, &head.headers);
+    return organisation_admission::answer(&shared, &head.headers);
   }
   let (key, forwarded) = match unseal(&shared, head) {
     Ok(unsealed) => unsealed,
     Err(refusal) => return refusal.response(&shared.names.request_id(), false),
   };
-  let Some(arrived) = ArrivedTry::note(&shared, key) else {
+  let Some(arrived) = ReceivedTry::record(&shared, key) else {
     let outcome = AttemptOutcome::not_run("its sender already counts this try as lost", 0);
     return Refusal::from(outcome).response(&forwarded.id, false);
   };
-  let exchange = HeldExchange::begin(&shared, Sender::Box, &forwarded.id);
+  let exchange = ExchangeGuard::begin(&shared, Sender::Box, &forwarded.id);
   let body = RequestBody::stream(body);
-  note_small(&shared, &body);
-  let mut response = hand_over(&shared, &forwarded, body, Sender::Box)
+  record_inbound_bytes(&shared, &body);
+  let mut response = run_at_backend(&shared, &forwarded, body, Sender::Box)
     .await
     .unwrap_or_else(|outcome| Refusal::from(outcome).response(&forwarded.id, false));
   let own_headers = response.headers_mut();
   headers::set(own_headers, headers::CONDITION, shared.condition());
   headers::set(own_headers, headers::REQUEST_ID, &forwarded.id);
-  exchange.deliver(arrived.keep(&forwarded, response).await)
+  exchange.deliver(arrived.retain_answer(&forwarded, response).await)
 }
 
 /// Reads a forwarded request and checks its seal, which proves that the sender has the fleet key.
 fn unseal(
   shared: &Shared,
   head: http::request::Parts,
-) -> std::result::Result<(TryKey, Forwarded), Refusal> {
-  let malformed = || Refusal::wrong(StatusCode::BAD_REQUEST, "a forwarded request lacks a header");
+) -> std::result::Result<(TryKey, ForwardedRequest), Refusal> {
+  let malformed =
+    || Refusal::permanent(StatusCode::BAD_REQUEST, "a forwarded request lacks a header");
   let time_left_ms: u64 =
     headers::parsed(&head.headers, headers::TIME_LEFT_MS).ok_or_else(malformed)?;
   let key: TryKey = headers::parsed(&head.headers, headers::TRY).ok_or_else(malformed)?;
   let seal: Digest = headers::parsed(&head.headers, headers::SEAL).ok_or_else(malformed)?;
-  let mut forwarded = Forwarded {
+  let mut forwarded = ForwardedRequest {
     answer_bytes: headers::parsed(&head.headers, headers::ANSWER_BYTES).unwrap_or_default(),
     attempts_max: 1,
     caller_service: headers::parsed(&head.headers, headers::CALLER_SERVICE)
@@ -58,7 +59,7 @@
     deadline: shared.now().time.after(time_left_ms),
     fingerprint: headers::parsed(&head.headers, headers::FINGERPRINT).ok_or_else(malformed)?,
     id: headers::parsed(&head.headers, headers::REQUEST_ID).ok_or_else(malformed)?,
-    insists: headers::parsed(&head.headers, headers::INSISTS).ok_or_else(malformed)?,
+    may_queue: headers::parsed(&head.headers, headers::INSISTS).ok_or_else(malformed)?,
     lane: Lane::InForce,
     only_box: None,
     organisation: headers::parsed(&head.headers, headers::ORGANISATION),
@@ -69,10 +70,14 @@
     service: headers::parsed(&head.headers, headers::SERVICE).ok_or_else(malformed)?,
     urgency: urgency(&head.headers, shared.now().time).ok_or_else(malformed)?,
     version: headers::parsed(&head.headers, headers::VERSION).ok_or_else(malformed)?,
-    head: forwarded::ForwardedHead { headers: head.headers, method: head.method, target: head.uri },
+    head: forwarded_request::ForwardedHead {
+      headers: head.headers,
+      method: head.method,
+      target: head.uri,
+    },
   };
   if !shared.is_sealed(&forwarded.sealed_text(key, time_left_ms), &seal) {
-    return Err(not_of_this_fleet(shared));
+    return Err(invalid_seal(shared));
   }
   forwarded.deadline = shared.latest_answer(forwarded.deadline).ok_or_else(too_late)?;
   let hop = [
@@ -97,9 +102,9 @@
 }
 
 /// Refuses a message without the valid seal of a daemon of this fleet.
-pub(super) fn not_of_this_fleet(shared: &Shared) -> Refusal {
+pub(super) fn invalid_seal(shared: &Shared) -> Refusal {
   shared.note_refused_link("forwarded request without the fleet's seal");
-  Refusal::wrong(
+  Refusal::permanent(
     StatusCode::FORBIDDEN,
     "the seal is invalid: the sending daemon is not part of this fleet",
   )
@@ -115,29 +120,35 @@
 
 /// Sends a request, received from a caller or another box, to the backend server beside this daemon
 /// once a slot is free.
-pub async fn hand_over(
+pub async fn run_at_backend(
   shared: &Rc<Shared>,
-  forwarded: &Forwarded,
+  forwarded: &ForwardedRequest,
   body: RequestBody,
   from: Sender,
 ) -> AttemptResult {
   let arrived_us = shared.elapsed_us();
-  let mut passage = Passage::default();
-  let result = pass(shared, forwarded, body, from, &mut passage).await;
-  passage.log(shared, forwarded, arrived_us, &result);
+  let mut trace = BackendTrace::default();
+  let result = admit_and_run(shared, forwarded, body, from, &mut trace).await;
+  trace.log(shared, forwarded, arrived_us, &result);
   result
 }
 
 /// Details of a request at its backend server, for the log.
 #[derive(Default)]
-struct Passage {
+struct BackendTrace {
   process: Option<Process>,
   /// Time at which it got its slot, in microseconds on the daemon's clock.
   slot_us: Option<u64>,
 }
 
-impl Passage {
-  fn log(&self, shared: &Shared, forwarded: &Forwarded, arrived_us: u64, result: &AttemptResult) {
+impl BackendTrace {
+  fn log(
+    &self,
+    shared: &Shared,
+    forwarded: &ForwardedRequest,
+    arrived_us: u64,
+    result: &AttemptResult,
+  ) {
     let now_us = shared.elapsed_us();
     let outcome = match result {
       Ok(response) => format!("answered with {}", response.status().as_u16()),
@@ -158,45 +169,45 @@
   }
 }
 
-async fn pass(
+async fn admit_and_run(
   shared: &Rc<Shared>,
-  forwarded: &Forwarded,
+  forwarded: &ForwardedRequest,
   body: RequestBody,
   from: Sender,
-  passage: &mut Passage,
+  trace: &mut BackendTrace,
 ) -> AttemptResult {
-  if let Some(reason) = refuse_early(shared, forwarded) {
+  if let Some(reason) = rejection_reason(shared, forwarded) {
     return Err(AttemptOutcome::not_run(reason, Shared::RETRY_AFTER_MS));
   }
-  if let Some(reason) = decline(shared, forwarded) {
+  if let Some(reason) = decline_reason(shared, forwarded) {
     return Err(AttemptOutcome::declined(reason, Shared::RETRY_AFTER_MS));
   }
   let reserved = match from {
     Sender::Box => {
-      take_link(shared, forwarded, &body)?;
-      Some(ReservedAnswer::reserve(shared, forwarded)?)
+      reserve_link(shared, forwarded, &body)?;
+      Some(AnswerReservation::reserve(shared, forwarded)?)
     }
     // Callers are not necessarily reached over the network link that boxes share.
     Sender::Caller => None,
   };
-  let turn = match from {
-    Sender::Box => take_turn(shared, forwarded, &body).await?,
+  let transfer_slot = match from {
+    Sender::Box => take_transfer_slot(shared, forwarded, &body).await?,
     Sender::Caller => None,
   };
-  let slot = HeldSlot::take(shared, forwarded).await?;
-  passage.slot_us = Some(shared.elapsed_us());
-  passage.process = shared.backend.borrow().process().cloned();
-  if let Some(reason) = refuse_early(shared, forwarded) {
+  let slot = SlotGuard::take(shared, forwarded).await?;
+  trace.slot_us = Some(shared.elapsed_us());
+  trace.process = shared.backend.borrow().process().cloned();
+  if let Some(reason) = rejection_reason(shared, forwarded) {
     return Err(AttemptOutcome::not_run(reason, Shared::RETRY_AFTER_MS));
   }
   let cold_wait_ms = shared.cold_wait_ms();
   if cold_wait_ms > 0 {
     return Err(AttemptOutcome::declined("the backend server is still warming up", cold_wait_ms));
   }
-  let run = HeldRun::begin(shared, &forwarded.id, forwarded.fingerprint)?;
+  let run = RunGuard::begin(shared, &forwarded.id, forwarded.fingerprint)?;
   let stopwatch = Stopwatch::start();
   let left_ms = forwarded.deadline.since_ms(shared.now().time);
-  let exchange = exchange(shared, forwarded, body, turn, slot, run);
+  let exchange = exchange(shared, forwarded, body, transfer_slot, slot, run);
   let answer = timer::timeout(Duration::from_millis(left_ms), exchange).await;
   let answer = answer.unwrap_or_else(|_| {
     if let Some(held) = stopwatch.read() {
@@ -213,8 +224,8 @@
 }
 
 /// Returns why a request that can run at another box should do so, or `None` if it may run here.
-fn decline(shared: &Shared, forwarded: &Forwarded) -> Option<&'static str> {
-  if forwarded.insists {
+fn decline_reason(shared: &Shared, forwarded: &ForwardedRequest) -> Option<&'static str> {
+  if forwarded.may_queue {
     return None;
   }
   let reason = shared.monitor.borrow().degraded()?;
@@ -224,9 +235,9 @@
 
 /// Reserves capacity of the box's network link for a body from another daemon. The sender keeps the
 /// body until it is read here.
-fn take_link(
+fn reserve_link(
   shared: &Shared,
-  forwarded: &Forwarded,
+  forwarded: &ForwardedRequest,
   body: &RequestBody,
 ) -> std::result::Result<(), AttemptOutcome> {
   let Some(size) = body.streamed_size() else {
@@ -237,9 +248,10 @@
     return Ok(());
   };
   let now = shared.now().time;
-  let patience_ms = if forwarded.insists { forwarded.urgency.wait_until.since_ms(now) } else { 0 };
+  let wait_max_ms =
+    if forwarded.may_queue { forwarded.urgency.wait_until.since_ms(now) } else { 0 };
   let backlog_ms = shared.body_turns.borrow().backlog_ms();
-  link.take(now, size.exact(), patience_ms, backlog_ms).map_err(|retry_after_ms| {
+  link.take(now, size.exact(), wait_max_ms, backlog_ms).map_err(|retry_after_ms| {
     AttemptOutcome::declined("the box's network link is busy with other bodies", retry_after_ms)
   })
 }
@@ -248,7 +260,7 @@
 const REQUEST_HEAD_BYTES: u64 = 1_000;
 
 /// Counts the bytes of a request that cross the box's network link, except a large body.
-fn note_small(shared: &Shared, body: &RequestBody) {
+fn record_inbound_bytes(shared: &Shared, body: &RequestBody) {
   let size = body.streamed_size().and_then(|size| size.exact()).unwrap_or_default();
   let small = if size <= LinkBudget::SMALL_BYTES { size } else { 0 };
   shared.note_inbound(REQUEST_HEAD_BYTES + small);
@@ -256,19 +268,19 @@
 
 /// Waits for a transfer slot for a large body from another box, whose sender waits for
 /// `100 Continue`.
-async fn take_turn(
+async fn take_transfer_slot(
   shared: &Rc<Shared>,
-  forwarded: &Forwarded,
+  forwarded: &ForwardedRequest,
   body: &RequestBody,
-) -> std::result::Result<Option<HeldTurn>, AttemptOutcome> {
-  let size = body.streamed_size().map(|size| size.exact().unwrap_or(CONTINUE_BYTES + 1));
-  match size.filter(|bytes| *bytes > CONTINUE_BYTES) {
-    Some(bytes) => HeldTurn::take(shared, forwarded, bytes).await.map(Some),
+) -> std::result::Result<Option<TransferSlot>, AttemptOutcome> {
+  let size = body.streamed_size().map(|size| size.exact().unwrap_or(EXPECT_CONTINUE_BYTES + 1));
+  match size.filter(|bytes| *bytes > EXPECT_CONTINUE_BYTES) {
+    Some(bytes) => TransferSlot::take(shared, forwarded, bytes).await.map(Some),
     None => Ok(None),
   }
 }
 
-fn refuse_early(shared: &Shared, forwarded: &Forwarded) -> Option<String> {
+fn rejection_reason(shared: &Shared, forwarded: &ForwardedRequest) -> Option<String> {
   let own = shared.own_service();
   if forwarded.service != own {
     return Some(format!("this box serves {own}, not {}", forwarded.service));
@@ -291,11 +303,11 @@
 
 async fn exchange(
   shared: &Rc<Shared>,
-  forwarded: &Forwarded,
+  forwarded: &ForwardedRequest,
   body: RequestBody,
-  turn: Option<HeldTurn>,
-  slot: HeldSlot,
-  mut run: HeldRun,
+  transfer_slot: Option<TransferSlot>,
+  slot: SlotGuard,
+  mut run: RunGuard,
 ) -> AttemptResult {
   let stopwatch = Stopwatch::start();
   let address = shared.settings.backend_server.address;
@@ -313,11 +325,11 @@
     AttemptOutcome::not_run(err.to_string(), Shared::RETRY_AFTER_MS)
   })?;
   shared.cold_gate.borrow_mut().pass(shared.now().time);
-  let body = match turn {
-    Some(turn) => AnyBody::streamed(BodyInTurn::new(body.for_try(), turn)),
+  let body = match transfer_slot {
+    Some(transfer_slot) => AnyBody::streamed(TransferBody::new(body.for_try(), transfer_slot)),
     None => body.for_try(),
   };
-  let request = last_request(shared, forwarded, body);
+  let request = backend_request(shared, forwarded, body);
   let name = &shared.dialect.request_id;
   let value = request.headers().get(name).cloned();
   let mark = value.map(|value| Mark { name: name.clone(), value });
@@ -335,7 +347,7 @@
     Ok(response) => response.into_parts(),
     Err(err) => {
       if err.is_unsent() {
-        observed.pass_over();
+        observed.discard();
       } else {
         observed.end(true);
         run.end(RunEnd::ConnectionLost);
@@ -343,30 +355,34 @@
       return Err(failed("the backend server", &err));
     }
   };
-  if let Some(outcome) = rejected(shared, &head) {
-    observed.pass_over();
+  if let Some(outcome) = rejection_outcome(shared, &head) {
+    observed.discard();
     return Err(outcome);
   }
   if failed_itself || head.status.is_success() {
     observed.end(failed_itself);
   } else {
-    observed.pass_over();
+    observed.discard();
   }
   headers::remove_connection_headers(&mut head.headers);
   headers::remove_mesh_headers(&mut head.headers);
-  let guarded = GuardedBody::new(body, move |end| {
+  let guarded = OnEndBody::new(body, move |end| {
     run.end(end);
     drop(slot);
   });
   Ok(Response::from_parts(head, AnyBody::streamed(guarded)))
 }
 
-fn has_failed_call(shared: &Shared, forwarded: &Forwarded) -> bool {
+fn has_failed_call(shared: &Shared, forwarded: &ForwardedRequest) -> bool {
   shared.at_work.borrow().has_failed_call(&forwarded.id)
 }
 
 /// Returns the request for the backend server, with the header names of its protocol version.
-fn last_request(shared: &Shared, forwarded: &Forwarded, body: AnyBody) -> Request<AnyBody> {
+fn backend_request(
+  shared: &Shared,
+  forwarded: &ForwardedRequest,
+  body: AnyBody,
+) -> Request<AnyBody> {
   let dialect = &shared.dialect;
   let mut request = forwarded.request(body, shared.now().time);
   let headers = request.headers_mut();
@@ -378,12 +394,12 @@
     headers::remove_mesh_headers(headers);
   }
   let instance = shared.backend.borrow().process().map(|process| process.id.to_string());
-  let told: [(&Option<HeaderName>, Option<String>); 3] = [
+  let values: [(&Option<HeaderName>, Option<String>); 3] = [
     (&dialect.caller_service, Some(forwarded.caller_service.to_string())),
     (&dialect.expected_instance, instance),
     (&dialect.organisation, forwarded.organisation.as_ref().map(ToString::to_string)),
   ];
-  for (name, value) in told {
+  for (name, value) in values {
     let value = value.and_then(|value| HeaderValue::from_str(&value).ok());
     if let Some((name, value)) = name.clone().zip(value) {
       headers.insert(name, value);
@@ -393,7 +409,7 @@
 }
 
 /// Returns the outcome if the backend server's answer says that the request did not run.
-fn rejected(shared: &Shared, head: &http::response::Parts) -> Option<AttemptOutcome> {
+fn rejection_outcome(shared: &Shared, head: &http::response::Parts) -> Option<AttemptOutcome> {
   let marked = shared.dialect.not_run.as_ref().is_some_and(|name| head.headers.contains_key(name));
   if !marked && head.status != StatusCode::MISDIRECTED_REQUEST {
     return None;
--- a/src/proxy/held_exchange.rs
+++ b/src/proxy/exchange_guard.rs
@@ -1,12 +1,12 @@
 use super::*;
 
 /// Lists a request as open until the last byte of its answer is sent or it is dropped.
-pub(super) struct HeldExchange {
+pub(super) struct ExchangeGuard {
   id: ExchangeId,
   shared: Rc<Shared>,
 }
 
-impl HeldExchange {
+impl ExchangeGuard {
   /// Opens the exchange of a request that arrived.
   pub(super) fn begin(shared: &Rc<Shared>, from: Sender, request_id: &RequestId) -> Self {
     let now = shared.now().time;
@@ -16,16 +16,16 @@
 
   /// Tracks the answer while it is sent.
   pub(super) fn deliver(self, response: Response<AnyBody>) -> Response<AnyBody> {
-    response.map(|body| AnyBody::streamed(DeliveredBody::new(body, self)))
+    response.map(|body| AnyBody::streamed(TrackedBody::new(body, self)))
   }
 
   /// Records how much of the answer was sent.
-  pub(super) fn note(&self, answer: OpenAnswer) {
+  pub(super) fn record_sent(&self, answer: OpenAnswer) {
     self.shared.open_exchanges.borrow_mut().update_answer(self.id, answer);
   }
 
   /// Logs an answer that is cut off before its end.
-  pub(super) fn broke_off(&self, answer: OpenAnswer, why: &str) {
+  pub(super) fn log_cut_off(&self, answer: OpenAnswer, why: &str) {
     let exchanges = self.shared.open_exchanges.borrow();
     let Some(exchange) = exchanges.get(self.id) else {
       return;
@@ -39,7 +39,7 @@
   }
 }
 
-impl Drop for HeldExchange {
+impl Drop for ExchangeGuard {
   fn drop(&mut self) {
     self.shared.open_exchanges.borrow_mut().end(self.id);
   }
--- a/src/proxy/forward.rs
+++ b/src/proxy/forward.rs
@@ -5,7 +5,7 @@
 
 /// Largest answer in bytes to a repeatable request that is buffered until it is complete, so that
 /// the request can be retried at another box if the answer is cut off.
-const HELD_ANSWER_MAX: usize = 65_536;
+const BUFFERED_ANSWER_BYTES_MAX: usize = 65_536;
 
 /// Milliseconds past the deadline within which a buffered answer may still complete: an answer that
 /// is ready is delivered even if late, but a connection that went silent midway must not delay the
@@ -14,7 +14,7 @@
 
 /// Size in bytes above which a body is sent with `expect: 100-continue`. Waiting for `100 Continue`
 /// costs a round trip; a large body that is refused after it was sent wastes the network link.
-pub(super) const CONTINUE_BYTES: u64 = LinkBudget::LARGE_BYTES;
+pub(super) const EXPECT_CONTINUE_BYTES: u64 = LinkBudget::LARGE_BYTES;
 
 /// Typical size in bytes of the head of an answer between two daemons.
 const ANSWER_HEAD_BYTES: u64 = 500;
@@ -23,11 +23,11 @@
 /// made. Records every try in `attempts`.
 pub async fn forward(
   shared: &Rc<Shared>,
-  forwarded: &Forwarded,
+  forwarded: &ForwardedRequest,
   body: RequestBody,
   attempts: &mut Vec<Attempt>,
 ) -> AttemptResult {
-  let mut dispatch = Dispatch::new(forwarded.terms(&body));
+  let mut dispatch = Dispatch::new(forwarded.profile(&body));
   let mut tries = Tries::default();
   let mut event = DispatchEvent::Started;
   loop {
@@ -35,7 +35,7 @@
       DispatchStep::Answer { id } => return tries.finish(id, attempts),
       DispatchStep::CheckArrival { id } => tries.ask(shared, id),
       DispatchStep::Refuse(outcome) => return Err(outcome),
-      DispatchStep::Try(order) => tries.start(shared, forwarded, body.for_attempt(), *order),
+      DispatchStep::Try(order) => tries.start(shared, forwarded, body.share(), *order),
       DispatchStep::Wait => {}
     }
     event = tries.next(shared, dispatch.wake_at(), &body, attempts).await;
@@ -52,7 +52,7 @@
   let is_drained = |box_id: &BoxId| {
     configuration.as_ref().is_some_and(|configuration| configuration.drains.contains_key(box_id))
   };
-  let mut around = DispatchContext {
+  let mut context = DispatchContext {
     balancer: &mut shared.balancer.borrow_mut(),
     budget: &mut shared.budget.borrow_mut(),
     candidates: &shared.endpoints_of(service),
@@ -64,22 +64,22 @@
     rng: &mut shared.rng.borrow_mut(),
     traffic: &shared.traffic.borrow().of(service),
   };
-  dispatch.handle(event, &mut around)
+  dispatch.handle(event, &mut context)
 }
 
 /// Makes one try at one backend server and reports its result to the balancer.
 pub(super) async fn attempt(
   shared: &Rc<Shared>,
-  forwarded: &Forwarded,
+  forwarded: &ForwardedRequest,
   body: RequestBody,
   order: &TryOrder,
   key: TryKey,
 ) -> AttemptResult {
   let box_id = order.endpoint.peer.box_id.clone();
-  let under_way = UnderWay::start(shared, &box_id);
+  let in_flight = InFlightTry::start(shared, &box_id);
   let stopwatch = Stopwatch::start();
   let (answer, condition) = if box_id == shared.settings.box_id {
-    let answer = egress::hand_over(shared, forwarded, body, Sender::Caller).await;
+    let answer = egress::run_at_backend(shared, forwarded, body, Sender::Caller).await;
     (answer, Some(shared.own_condition()))
   } else {
     let mut condition = None;
@@ -94,7 +94,7 @@
   let answer = match answer {
     Ok(response) if forwarded.repeatable => {
       let whole_ms = forwarded.deadline.since_ms(shared.now().time) + LATE_ANSWER_MS;
-      hold_small(response, whole_ms).await
+      buffer_small_answer(response, whole_ms).await
     }
     other => other,
   };
@@ -107,7 +107,7 @@
     Err(_) => Completion::Failed,
   };
   shared.balancer.borrow_mut().completed(shared.now().time, &box_id, completion);
-  answer.map(|response| under_way.until_end_of(response))
+  answer.map(|response| in_flight.until_end_of(response))
 }
 
 /// Reports to the balancer that a box is unreachable.
@@ -119,7 +119,7 @@
 
 async fn send_to_peer(
   shared: &Rc<Shared>,
-  forwarded: &Forwarded,
+  forwarded: &ForwardedRequest,
   body: &RequestBody,
   client: Client,
   key: TryKey,
@@ -137,7 +137,7 @@
   let urgency = forwarded.urgency;
   headers::set(request_headers, headers::DUE_MS, urgency.due.since_ms(now));
   headers::set(request_headers, headers::FINGERPRINT, forwarded.fingerprint);
-  headers::set(request_headers, headers::INSISTS, forwarded.insists);
+  headers::set(request_headers, headers::INSISTS, forwarded.may_queue);
   if let Some(organisation) = &forwarded.organisation {
     headers::set(request_headers, headers::ORGANISATION, organisation);
   }
@@ -153,7 +153,7 @@
   headers::set(request_headers, headers::VERSION, forwarded.version);
   // The daemon of the box answers at the deadline at the latest; the grace lets that answer arrive.
   let left = Duration::from_millis(time_left_ms + Shared::PEER_GRACE_MS);
-  if body_size.is_none_or(|size| size > CONTINUE_BYTES) {
+  if body_size.is_none_or(|size| size > EXPECT_CONTINUE_BYTES) {
     headers::set(request.headers_mut(), "expect", "100-continue");
   }
   let name = HeaderName::from_static(headers::REQUEST_ID);
@@ -179,13 +179,13 @@
   *condition = headers::parsed(&head.headers, headers::CONDITION);
   head.headers.remove(headers::CONDITION);
   if let Some(outcome) = headers::text(&head.headers, headers::OUTCOME) {
-    return Err(refused_by_peer(outcome, &head.headers, body).await);
+    return Err(read_refusal(outcome, &head.headers, body).await);
   }
   Ok(Response::from_parts(head, AnyBody::streamed(body)))
 }
 
 /// Reads the refusal of the daemon beside a backend server.
-async fn refused_by_peer(outcome: &str, headers: &HeaderMap, body: ResponseBody) -> AttemptOutcome {
+async fn read_refusal(outcome: &str, headers: &HeaderMap, body: ResponseBody) -> AttemptOutcome {
   const BODY_BYTES_MAX: usize = 16_384;
   let not_run = outcome == "not-run";
   let retry_after_ms = headers::parsed(headers, headers::RETRY_AFTER_MS).unwrap_or(1);
@@ -201,12 +201,12 @@
 }
 
 /// Counts a try as in flight at a backend server until dropped.
-struct UnderWay {
+struct InFlightTry {
   box_id: BoxId,
   shared: Rc<Shared>,
 }
 
-impl UnderWay {
+impl InFlightTry {
   fn start(shared: &Rc<Shared>, box_id: &BoxId) -> Self {
     shared.balancer.borrow_mut().started(box_id);
     Self { box_id: box_id.clone(), shared: shared.clone() }
@@ -218,7 +218,7 @@
   }
 }
 
-impl Drop for UnderWay {
+impl Drop for InFlightTry {
   fn drop(&mut self) {
     self.shared.balancer.borrow_mut().ended(&self.box_id);
   }
@@ -235,13 +235,13 @@
 
 /// Buffers a small answer, for at most `whole_ms` milliseconds. An incomplete answer counts as no
 /// answer.
-async fn hold_small(response: Response<AnyBody>, whole_ms: u64) -> AttemptResult {
+async fn buffer_small_answer(response: Response<AnyBody>, whole_ms: u64) -> AttemptResult {
   let size = response.body().size_hint().exact();
-  if size.is_none_or(|size| size > HELD_ANSWER_MAX as u64) {
+  if size.is_none_or(|size| size > BUFFERED_ANSWER_BYTES_MAX as u64) {
     return Ok(response);
   }
   let (head, body) = response.into_parts();
-  let collecting = web::collect(body, HELD_ANSWER_MAX);
+  let collecting = web::collect(body, BUFFERED_ANSWER_BYTES_MAX);
   let reason = match timer::timeout(Duration::from_millis(whole_ms), collecting).await {
     Ok(Ok(body)) => return Ok(Response::from_parts(head, web::full(body))),
     Ok(Err(err)) => format!("the answer ended early: {err}"),
--- a/src/proxy/forwarded.rs
+++ b/src/proxy/forwarded_request.rs
@@ -2,7 +2,7 @@
 
 /// A request that is being forwarded, with the data that each hop needs.
 #[derive(Clone, Debug)]
-pub struct Forwarded {
+pub struct ForwardedRequest {
   /// Expected size of its answer in bytes.
   pub answer_bytes: u64,
   /// Largest number of backend servers to which it may be sent.
@@ -21,7 +21,7 @@
   pub id: RequestId,
   /// Whether it may queue for a slot. Otherwise a box that cannot run it at once declines it, and
   /// another box is tried.
-  pub insists: bool,
+  pub may_queue: bool,
   /// Which of its service's versions should run it.
   pub lane: Lane,
   /// The only box to which it may be sent, if it is on trial after a quarantine.
@@ -63,7 +63,7 @@
     let host = headers::text(&self.headers, "host").unwrap_or_default();
     let asked =
       format!("{} {host} {}\n{class}\n{}\n", self.method, self.target, body.known_bytes());
-    let held = body.held().unwrap_or_default();
+    let held = body.buffered().unwrap_or_default();
     Fingerprint::of(&Digest::of(&[asked.as_bytes(), held].concat()))
   }
 
@@ -73,7 +73,7 @@
   }
 }
 
-impl Forwarded {
+impl ForwardedRequest {
   /// Returns the request for the next hop.
   pub fn request(&self, body: AnyBody, now: Time) -> Request<AnyBody> {
     let mut request = Request::new(body);
@@ -87,7 +87,7 @@
   }
 
   /// Returns the properties on which dispatch bases its decisions.
-  pub fn terms(&self, body: &RequestBody) -> RequestProfile {
+  pub fn profile(&self, body: &RequestBody) -> RequestProfile {
     RequestProfile {
       answer_bytes: self.answer_bytes,
       attempts_max: self.attempts_max,
@@ -104,8 +104,8 @@
   }
 
   /// Returns the same request for a try that may or may not queue.
-  pub fn insisting(&self, insists: bool) -> Self {
-    Self { insists, ..self.clone() }
+  pub fn with_queueing(&self, may_queue: bool) -> Self {
+    Self { may_queue, ..self.clone() }
   }
 
   /// Returns the text that the forwarding daemon seals, so that no other process can impersonate
--- a/src/proxy/headers.rs
+++ b/src/proxy/headers.rs
@@ -111,7 +111,7 @@
 
 /// Removes the caller's credentials and the header that names the organisation to backend servers,
 /// which only the mesh may set.
-pub fn remove_proof(headers: &mut HeaderMap, organisation: Option<&HeaderName>) {
+pub fn remove_credentials(headers: &mut HeaderMap, organisation: Option<&HeaderName>) {
   headers.remove(http::header::AUTHORIZATION);
   if let Some(organisation) = organisation {
     headers.remove(organisation);
--- a/src/proxy/carry.rs
+++ b/src/proxy/ingress.rs
@@ -10,14 +10,14 @@
 
 /// Retry delay in milliseconds for a request whose route or key a newer version may contain: most
 /// of a fleet has a version this soon after its first box.
-pub(super) const BEHIND_RETRY_MS: u64 = 500;
+pub(super) const NEWER_VERSION_RETRY_MS: u64 = 500;
 
 /// Default timeout of a request in milliseconds, if no policy sets one.
-const DEADLINE_DEFAULT_MS: u64 = 30_000;
+const DEFAULT_TIMEOUT_MS: u64 = 30_000;
 
 /// Milliseconds that the final answer is sent ahead of the caller's own deadline, so that it
 /// arrives in time.
-const WAY_BACK_MS: u64 = 25;
+const ANSWER_TRANSIT_MS: u64 = 25;
 
 /// Serves a caller's request.
 pub async fn serve_caller(shared: Rc<Shared>, request: Request<Incoming>) -> Response<AnyBody> {
@@ -25,10 +25,10 @@
   let (head, body) = request.into_parts();
   let incoming = IncomingRequest::read(&shared, &head);
   let id = incoming.id.clone();
-  let exchange = HeldExchange::begin(&shared, Sender::Caller, &id);
+  let exchange = ExchangeGuard::begin(&shared, Sender::Caller, &id);
   let origin = head.extensions.get::<Origin>().copied();
   let mut recorder = Recorder::start(&shared, &incoming, &head);
-  let outcome = carry(&shared, &mut recorder, incoming, head, body).await;
+  let outcome = handle(&shared, &mut recorder, incoming, head, body).await;
   let mut response = outcome.unwrap_or_else(|refusal| {
     recorder.record.refusal = Some(format!("{}: {}", refusal.outcome(), refusal.reason));
     refusal.response(&id, shared.dialect.retry_after_fractions)
@@ -45,12 +45,12 @@
   }
   recorder.finish(response.status());
   if origin == Some(Origin::Elsewhere) {
-    note_on_link(&shared, &response);
+    charge_answer_budget(&shared, &response);
   }
   exchange.deliver(response)
 }
 
-async fn carry(
+async fn handle(
   shared: &Rc<Shared>,
   recorder: &mut Recorder,
   incoming: IncomingRequest,
@@ -58,7 +58,7 @@
   body: Incoming,
 ) -> std::result::Result<Response<AnyBody>, Refusal> {
   let matched = find_route(shared, &incoming, &head)?;
-  let member = membership::identify(shared, &matched, &head.headers)?;
+  let member = organisation_admission::identify(shared, &matched, &head.headers)?;
   let member = member.as_deref();
   let organisation = member.map(|member| member.organisation.clone());
   if let Some(organisation) = &organisation {
@@ -79,14 +79,14 @@
     .map_or(0, |left_ms| shared.caller_times.borrow_mut().note(&matched.route, left_ms));
   let rank = member.and_then(|member| member.priority).unwrap_or(handling.priority);
   let is_call = shared.at_work.borrow().is_call(&incoming.id);
-  let body = take_body(body, is_claimed).await?;
+  let body = buffer_body(body, is_claimed).await?;
   let class = recorder.record.class.clone();
-  let head = pass_on(shared, head, &incoming, &class);
+  let head = forwarded_head(shared, head, &incoming, &class);
   let fingerprint = head.fingerprint(&class, &body);
-  let only_box = check_standing(shared, fingerprint, &service)?;
+  let only_box = check_quarantine(shared, fingerprint, &service)?;
   let lane = shared.traffic.borrow_mut().deal(&service, &mut shared.rng.borrow_mut());
   let is_watched = shared.traffic.borrow().of(&service).ordered_at.is_some();
-  let forwarded = Forwarded {
+  let forwarded = ForwardedRequest {
     answer_bytes: shared.answer_sizes.borrow().expected_bytes(&matched.route),
     attempts_max: handling.attempts.unwrap_or(policy_attempts),
     caller_service: shared.own_service(),
@@ -95,7 +95,7 @@
     fingerprint,
     head,
     id: incoming.id.clone(),
-    insists: true,
+    may_queue: true,
     lane,
     only_box,
     organisation,
@@ -109,15 +109,15 @@
   };
   let admitted = AdmittedRequest::admit(shared, member).await?;
   if is_claimed {
-    admitted.spend();
-    return carry_claimed(shared, recorder, incoming, forwarded, body).await;
+    admitted.spend_token();
+    return handle_claimed(shared, recorder, incoming, forwarded, body).await;
   }
   let answer = forward::forward(shared, &forwarded, body, &mut recorder.record.attempts).await;
   if let Ok(answer) = &answer {
-    note_size(shared, &matched.route, answer);
+    record_answer_size(shared, &matched.route, answer);
   }
   if answer.as_ref().map_or_else(AttemptOutcome::arrived, |_| true) {
-    admitted.spend();
+    admitted.spend_token();
   }
   answer.map_err(Refusal::from)
 }
@@ -131,26 +131,29 @@
 /// Returns the timeout of a request in milliseconds: the shorter of what its caller waits and what
 /// the route or policy allows.
 fn time_left_ms(incoming: &IncomingRequest, handling: &Handling, policy: Option<&Policy>) -> u64 {
-  let policy_ms = policy.map_or(DEADLINE_DEFAULT_MS, |policy| policy.deadline_ms);
+  let policy_ms = policy.map_or(DEFAULT_TIMEOUT_MS, |policy| policy.deadline_ms);
   let held_max_ms = handling.timeout_ms.unwrap_or(policy_ms);
   let caller_ms =
-    incoming.time_left_ms.map_or(held_max_ms, |left_ms| left_ms - left_ms.min(WAY_BACK_MS));
+    incoming.time_left_ms.map_or(held_max_ms, |left_ms| left_ms - left_ms.min(ANSWER_TRANSIT_MS));
   caller_ms.min(held_max_ms)
 }
 
 /// Buffers the body if it may have to be sent again.
-async fn take_body(body: Incoming, is_claimed: bool) -> std::result::Result<RequestBody, Refusal> {
+async fn buffer_body(
+  body: Incoming,
+  is_claimed: bool,
+) -> std::result::Result<RequestBody, Refusal> {
   let taken = if is_claimed {
-    RequestBody::hold(body, CLAIMED_BODY_BYTES_MAX).await
+    RequestBody::buffer(body, CLAIMED_BODY_BYTES_MAX).await
   } else {
     RequestBody::take(body).await
   };
   taken.map_err(|err| broken_body(&err))
 }
 
-/// Charges an answer that crosses the box's network link to its caller against the link's budget,
-/// so that the box accepts fewer answers for other boxes.
-fn note_on_link(shared: &Shared, answer: &Response<AnyBody>) {
+/// Charges an answer that crosses the box's network link to its caller against the answer budget,
+/// so that the box accepts fewer requests from other boxes.
+fn charge_answer_budget(shared: &Shared, answer: &Response<AnyBody>) {
   let bytes = answer.body().size_hint().exact().unwrap_or_default();
   if let Some(budget) = shared.answer_budget.borrow_mut().as_mut() {
     budget.give(shared.now().time, bytes);
@@ -158,7 +161,7 @@
 }
 
 /// Records the size of an answer, which the selection of backend servers for its route uses.
-fn note_size(shared: &Shared, route: &RouteName, answer: &Response<AnyBody>) {
+fn record_answer_size(shared: &Shared, route: &RouteName, answer: &Response<AnyBody>) {
   let size = answer.body().size_hint().exact().filter(|_| answer.status().is_success());
   if let Some(bytes) = size {
     shared.answer_sizes.borrow_mut().note(route, bytes);
@@ -180,7 +183,7 @@
       "the request is {} calls deep, which looks like a loop: check the routes that it took",
       incoming.depth
     );
-    return Err(Refusal::wrong(StatusCode::LOOP_DETECTED, reason));
+    return Err(Refusal::permanent(StatusCode::LOOP_DETECTED, reason));
   }
   let path = head.uri.path();
   let router = shared.router();
@@ -193,10 +196,10 @@
 fn unknown_route(shared: &Shared, version: Version, method: &Method, path: &str) -> Refusal {
   let reason = format!("no route of version {version} matches {method} {path}");
   match shared.newer_version() {
-    None => Refusal::wrong(StatusCode::NOT_FOUND, reason),
+    None => Refusal::permanent(StatusCode::NOT_FOUND, reason),
     Some(newer) => {
       let reason = format!("{reason}, and version {newer} is not in force here yet");
-      Refusal::not_run(StatusCode::SERVICE_UNAVAILABLE, reason, BEHIND_RETRY_MS)
+      Refusal::not_run(StatusCode::SERVICE_UNAVAILABLE, reason, NEWER_VERSION_RETRY_MS)
     }
   }
 }
@@ -210,19 +213,19 @@
 }
 
 /// Refuses a quarantined request. If the request is on trial, returns the only box that may run it.
-fn check_standing(
+fn check_quarantine(
   shared: &Shared,
   fingerprint: Fingerprint,
   service: &ServiceName,
 ) -> std::result::Result<Option<BoxId>, Refusal> {
-  let standing = shared.quarantine.borrow().status(shared.now().time, fingerprint);
-  match standing {
+  let status = shared.quarantine.borrow().status(shared.now().time, fingerprint);
+  match status {
     QuarantineStatus::Allowed => Ok(None),
     QuarantineStatus::Held { crashes, retry_after_ms } => {
       shared.metrics.requests_held_back.inc();
-      Err(Refusal::from(held_run::held_back(fingerprint, crashes, retry_after_ms)))
+      Err(Refusal::from(run_guard::held_back(fingerprint, crashes, retry_after_ms)))
     }
-    QuarantineStatus::OnTrial => Ok(held_run::trial_box(shared, fingerprint, service)),
+    QuarantineStatus::OnTrial => Ok(run_guard::trial_box(shared, fingerprint, service)),
   }
 }
 
@@ -236,17 +239,17 @@
 }
 
 /// Returns the request head that the backend server receives.
-fn pass_on(
+fn forwarded_head(
   shared: &Shared,
   head: http::request::Parts,
   incoming: &IncomingRequest,
   class: &CallerClass,
-) -> forwarded::ForwardedHead {
+) -> forwarded_request::ForwardedHead {
   let mut passed = head.headers;
   headers::remove_connection_headers(&mut passed);
   headers::remove_mesh_headers(&mut passed);
   if shared.key_ring().is_needed() {
-    headers::remove_proof(&mut passed, shared.dialect.organisation.as_ref());
+    headers::remove_credentials(&mut passed, shared.dialect.organisation.as_ref());
   }
   headers::set(&mut passed, headers::CALLER_CLASS, class);
   headers::set(&mut passed, headers::DEPTH, incoming.depth + 1);
@@ -255,28 +258,30 @@
   }
   let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
   let target = path.parse().unwrap_or_default();
-  forwarded::ForwardedHead { headers: passed, method: head.method, target }
+  forwarded_request::ForwardedHead { headers: passed, method: head.method, target }
 }
 
 fn broken_body(err: &web::Error) -> Refusal {
   match err {
-    web::Error::TooLarge { .. } => Refusal::wrong(StatusCode::PAYLOAD_TOO_LARGE, err.to_string()),
-    _ => Refusal::wrong(StatusCode::BAD_REQUEST, err.to_string()),
+    web::Error::TooLarge { .. } => {
+      Refusal::permanent(StatusCode::PAYLOAD_TOO_LARGE, err.to_string())
+    }
+    _ => Refusal::permanent(StatusCode::BAD_REQUEST, err.to_string()),
   }
 }
 
 /// Handles a request that may run at most once. Once its key is claimed, it runs to its end even if
 /// the caller disconnects, so that its result is recorded.
-async fn carry_claimed(
+async fn handle_claimed(
   shared: &Rc<Shared>,
   recorder: &mut Recorder,
   incoming: IncomingRequest,
-  forwarded: Forwarded,
+  forwarded: ForwardedRequest,
   body: RequestBody,
 ) -> std::result::Result<Response<AnyBody>, Refusal> {
   let key = claim_key(&incoming)?;
-  let RequestBody::Held(body) = body else {
-    return Err(Refusal::wrong(StatusCode::BAD_REQUEST, "the body was not buffered"));
+  let RequestBody::Buffered(body) = body else {
+    return Err(Refusal::permanent(StatusCode::BAD_REQUEST, "the body was not buffered"));
   };
   let head = &forwarded.head;
   let content = [format!("{} {}\n", head.method, head.target).as_bytes(), &body[..]].concat();
@@ -290,7 +295,7 @@
   let shared = shared.clone();
   monoio::spawn(async move {
     let mut attempts = Vec::new();
-    let outcome = held_claim::run(&shared, forwarded, ticket, body, &mut attempts).await;
+    let outcome = claimed_run::run(&shared, forwarded, ticket, body, &mut attempts).await;
     done.send((outcome, attempts)).ok();
   });
   let Ok((outcome, attempts)) = result.await else {
@@ -307,10 +312,10 @@
 fn claim_key(incoming: &IncomingRequest) -> std::result::Result<RequestKey, Refusal> {
   let Some(key) = &incoming.key else {
     let reason = format!("the route runs requests at most once: send a key in `{}`", headers::KEY);
-    return Err(Refusal::wrong(StatusCode::BAD_REQUEST, reason));
+    return Err(Refusal::permanent(StatusCode::BAD_REQUEST, reason));
   };
   key.parse().map_err(|err: crate::values::Error| {
-    Refusal::wrong(StatusCode::BAD_REQUEST, format!("`{}`: {err}", headers::KEY))
+    Refusal::permanent(StatusCode::BAD_REQUEST, format!("`{}`: {err}", headers::KEY))
   })
 }
 
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -26,36 +26,38 @@
   web::{AnyBody, Client, Incoming, KeptAnswer, Mark, Origin, ResponseBody},
 };
 
-pub use self::{carry::serve_caller, egress::serve_peer};
+pub use self::{egress::serve_peer, ingress::serve_caller};
 
 use self::{
-  attempt_result::AttemptResult, body_in_turn::BodyInTurn, delivered_body::DeliveredBody,
-  forwarded::Forwarded, guarded_body::GuardedBody, held_exchange::HeldExchange, held_run::HeldRun,
-  held_slot::HeldSlot, held_turn::HeldTurn, incoming_request::IncomingRequest, lent_body::LentBody,
-  membership::AdmittedRequest, observed_run::ObservedRun, refusal::Refusal,
-  request_body::RequestBody, reserved_answer::ReservedAnswer, tries::Tries,
+  answer_reservation::AnswerReservation, attempt_result::AttemptResult,
+  exchange_guard::ExchangeGuard, forwarded_request::ForwardedRequest,
+  incoming_request::IncomingRequest, observed_run::ObservedRun, on_end_body::OnEndBody,
+  organisation_admission::AdmittedRequest, refusal::Refusal, request_body::RequestBody,
+  returnable_body::ReturnableBody, run_guard::RunGuard, slot_guard::SlotGuard,
+  tracked_body::TrackedBody, transfer_body::TransferBody, transfer_slot::TransferSlot,
+  tries::Tries,
 };
 
+mod answer_reservation;
 mod arrivals;
 mod attempt_result;
-mod body_in_turn;
-mod carry;
-mod delivered_body;
+mod claimed_run;
 mod egress;
+mod exchange_guard;
 mod forward;
-mod forwarded;
-mod guarded_body;
+mod forwarded_request;
 pub mod headers;
-mod held_claim;
-mod held_exchange;
-mod held_run;
-mod held_slot;
-mod held_turn;
 mod incoming_request;
-mod lent_body;
-mod membership;
+mod ingress;
 mod observed_run;
+mod on_end_body;
+mod organisation_admission;
 mod refusal;
 mod request_body;
-mod reserved_answer;
+mod returnable_body;
+mod run_guard;
+mod slot_guard;
+mod tracked_body;
+mod transfer_body;
+mod transfer_slot;
 mod tries;
--- a/src/proxy/observed_run.rs
+++ b/src/proxy/observed_run.rs
@@ -12,7 +12,7 @@
 impl ObservedRun {
   /// A run that ends without an answer counts as slow if it took at least this multiple of the
   /// usual time. A shorter one may only mean that its caller disconnected early.
-  const UNANSWERED_TIMES: u64 = 2;
+  const SLOW_FACTOR: u64 = 2;
 
   /// Starts measuring a request that is sent to the backend server.
   pub fn begin(shared: &Rc<Shared>, route: Option<&RouteName>) -> Self {
@@ -33,7 +33,7 @@
 
   /// Discards the run, which says nothing about the backend server: it did not happen, or failed
   /// because of another service.
-  pub fn pass_over(mut self) {
+  pub fn discard(mut self) {
     self.began = None;
   }
 
@@ -52,7 +52,7 @@
       return;
     };
     let usual_us = self.shared.monitor.borrow().service_us();
-    if usual_us > 0 && took >= Duration::from_micros(usual_us * Self::UNANSWERED_TIMES) {
+    if usual_us > 0 && took >= Duration::from_micros(usual_us * Self::SLOW_FACTOR) {
       self.count(false, Some(took));
     }
   }
--- a/src/proxy/guarded_body.rs
+++ b/src/proxy/on_end_body.rs
@@ -1,12 +1,12 @@
 use super::*;
 
 /// A body that reports once how it ended.
-pub struct GuardedBody {
+pub struct OnEndBody {
   inner: ResponseBody,
   on_end: Option<Box<dyn FnOnce(RunEnd)>>,
 }
 
-impl GuardedBody {
+impl OnEndBody {
   /// Wraps a body and calls `on_end` when the body ends or is dropped.
   pub fn new(inner: ResponseBody, on_end: impl FnOnce(RunEnd) + 'static) -> Self {
     Self { inner, on_end: Some(Box::new(on_end)) }
@@ -19,7 +19,7 @@
   }
 }
 
-impl Body for GuardedBody {
+impl Body for OnEndBody {
   type Data = Bytes;
   type Error = web::Error;
 
@@ -45,7 +45,7 @@
   }
 }
 
-impl Drop for GuardedBody {
+impl Drop for OnEndBody {
   fn drop(&mut self) {
     let is_whole = self.inner.is_end_stream();
     self.end(if is_whole { RunEnd::Completed } else { RunEnd::Cancelled });
--- a/src/proxy/membership.rs
+++ b/src/proxy/organisation_admission.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-use super::egress::not_of_this_fleet;
+use super::egress::invalid_seal;
 
 /// Timeout in milliseconds of a draw from the owner of a ledger. It allows many round trips between
 /// regions and is a small part of a request's timeout.
@@ -26,19 +26,19 @@
   match keys.identify(headers.get(http::header::AUTHORIZATION)) {
     Ok(member) => Ok(Some(member)),
     Err(_) if matched.handling.public => Ok(None),
-    Err(fault) => Err(unproved(shared, fault)),
+    Err(fault) => Err(invalid_key(shared, fault)),
   }
 }
 
 /// Refuses a request without a valid key. If a newer version may contain the key, the caller is not
 /// at fault and is told to retry.
-fn unproved(shared: &Shared, fault: KeyFault) -> Refusal {
+fn invalid_key(shared: &Shared, fault: KeyFault) -> Refusal {
   match shared.newer_version() {
     Some(newer) if fault == KeyFault::Unknown => {
       let reason = format!("{fault}, and version {newer} is not in force here yet");
-      Refusal::not_run(StatusCode::SERVICE_UNAVAILABLE, reason, carry::BEHIND_RETRY_MS)
+      Refusal::not_run(StatusCode::SERVICE_UNAVAILABLE, reason, ingress::NEWER_VERSION_RETRY_MS)
     }
-    _ => Refusal::wrong(StatusCode::UNAUTHORIZED, fault.to_string()),
+    _ => Refusal::permanent(StatusCode::UNAUTHORIZED, fault.to_string()),
   }
 }
 
@@ -74,7 +74,7 @@
   }
 
   /// Spends the token, as a backend server may have received the request.
-  pub fn spend(mut self) {
+  pub fn spend_token(mut self) {
     self.organisation = None;
   }
 }
@@ -189,7 +189,7 @@
     return web::text(StatusCode::BAD_REQUEST, "a draw lacks a header");
   };
   if !shared.is_sealed(&sealed_text(&organisation, wanted), &seal) {
-    return not_of_this_fleet(shared).response(&shared.names.request_id(), false);
+    return invalid_seal(shared).response(&shared.names.request_id(), false);
   }
   let Some(limit) = shared.rate_limit(&organisation) else {
     let reason = format!("no rate limit of {organisation} is in force here");
--- a/src/proxy/refusal.rs
+++ b/src/proxy/refusal.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Debug)]
 pub struct Refusal {
   /// Whether the request ran, as far as known.
-  pub fate: Fate,
+  pub execution: ExecutionStatus,
   /// Whether it reached a backend server, which rejected it, or may have reached one.
   pub arrived: bool,
   /// Whether the box would accept it if no other box does.
@@ -19,7 +19,7 @@
 
 /// Whether a request without an answer ran.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Fate {
+pub enum ExecutionStatus {
   /// It certainly did not run.
   NotRun,
   /// A request with the same key is running.
@@ -42,7 +42,7 @@
     Self {
       arrived: false,
       declined: false,
-      fate: Fate::NotRun,
+      execution: ExecutionStatus::NotRun,
       reason: reason.into(),
       retry_after_ms: Some(retry_after_ms),
       status,
@@ -50,30 +50,30 @@
   }
 
   /// Refuses a request that did not run and would fail again if retried unchanged.
-  pub fn wrong(status: StatusCode, reason: impl Into<String>) -> Self {
+  pub fn permanent(status: StatusCode, reason: impl Into<String>) -> Self {
     Self { retry_after_ms: None, ..Self::not_run(status, reason, 0) }
   }
 
   /// Refuses a request that may have run.
   pub fn unknown(status: StatusCode, reason: impl Into<String>) -> Self {
-    Self { arrived: true, fate: Fate::Unknown, ..Self::wrong(status, reason) }
+    Self { arrived: true, execution: ExecutionStatus::Unknown, ..Self::permanent(status, reason) }
   }
 
   /// Refuses a request while another one with the same key is running.
   pub fn running(reason: impl Into<String>, retry_after_ms: u64) -> Self {
     Self {
       arrived: true,
-      fate: Fate::Running,
+      execution: ExecutionStatus::Running,
       ..Self::not_run(StatusCode::CONFLICT, reason, retry_after_ms)
     }
   }
 
   /// Returns the outcome that callers see: `not-run`, `running` or `unknown`.
   pub fn outcome(&self) -> &'static str {
-    match self.fate {
-      Fate::NotRun => "not-run",
-      Fate::Running => "running",
-      Fate::Unknown => "unknown",
+    match self.execution {
+      ExecutionStatus::NotRun => "not-run",
+      ExecutionStatus::Running => "running",
+      ExecutionStatus::Unknown => "unknown",
     }
   }
 
--- a/src/proxy/request_body.rs
+++ b/src/proxy/request_body.rs
@@ -3,7 +3,7 @@
 /// The body of a request that is being forwarded.
 pub enum RequestBody {
   /// Buffered, so that it can be sent again.
-  Held(Bytes),
+  Buffered(Bytes),
   /// Streamed, so that it can be sent only once. A try that ends before it read any of it returns
   /// it.
   Streamed(Rc<RefCell<Option<Incoming>>>),
@@ -12,20 +12,20 @@
 impl RequestBody {
   /// Largest body in bytes that is buffered, so that a try that did not run can be repeated at
   /// another box.
-  const HELD_BYTES_MAX: u64 = 65_536;
+  const BUFFERED_BYTES_MAX: u64 = 65_536;
 
   /// Buffers a small body of known size; streams any other.
   pub async fn take(body: Incoming) -> web::Result<Self> {
     let size = body.size_hint().exact();
-    if size.is_none_or(|size| size > Self::HELD_BYTES_MAX) {
+    if size.is_none_or(|size| size > Self::BUFFERED_BYTES_MAX) {
       return Ok(Self::stream(body));
     }
-    Self::hold(body, usize::try_from(Self::HELD_BYTES_MAX).unwrap_or(usize::MAX)).await
+    Self::buffer(body, usize::try_from(Self::BUFFERED_BYTES_MAX).unwrap_or(usize::MAX)).await
   }
 
   /// Buffers a body. Fails if it is larger than `bytes_max` bytes or its connection fails.
-  pub async fn hold(body: Incoming, bytes_max: usize) -> web::Result<Self> {
-    Ok(Self::Held(web::collect(body, bytes_max).await?))
+  pub async fn buffer(body: Incoming, bytes_max: usize) -> web::Result<Self> {
+    Ok(Self::Buffered(web::collect(body, bytes_max).await?))
   }
 
   /// Streams a body.
@@ -34,26 +34,26 @@
   }
 
   /// Returns the body if it is buffered.
-  pub fn held(&self) -> Option<&[u8]> {
+  pub fn buffered(&self) -> Option<&[u8]> {
     match self {
-      Self::Held(bytes) => Some(bytes),
+      Self::Buffered(bytes) => Some(bytes),
       Self::Streamed(_) => None,
     }
   }
 
   /// Returns whether the body can be sent now.
-  pub fn is_left(&self) -> bool {
+  pub fn is_available(&self) -> bool {
     match self {
-      Self::Held(_) => true,
+      Self::Buffered(_) => true,
       Self::Streamed(body) => body.borrow().is_some(),
     }
   }
 
   /// Returns a handle for a concurrent try: all tries share a buffered body, and the first one to
   /// take it gets a streamed body.
-  pub fn for_attempt(&self) -> Self {
+  pub fn share(&self) -> Self {
     match self {
-      Self::Held(bytes) => Self::Held(bytes.clone()),
+      Self::Buffered(bytes) => Self::Buffered(bytes.clone()),
       Self::Streamed(body) => Self::Streamed(body.clone()),
     }
   }
@@ -61,8 +61,8 @@
   /// Returns the body for one try, or an empty one if a streamed body is no longer there.
   pub fn for_try(&self) -> AnyBody {
     match self {
-      Self::Held(bytes) => web::full(bytes.clone()),
-      Self::Streamed(body) => LentBody::of(body).map_or_else(web::empty, AnyBody::streamed),
+      Self::Buffered(bytes) => web::full(bytes.clone()),
+      Self::Streamed(body) => ReturnableBody::of(body).map_or_else(web::empty, AnyBody::streamed),
     }
   }
 
@@ -70,10 +70,10 @@
   /// limit.
   pub fn known_bytes(&self) -> u64 {
     match self {
-      Self::Held(bytes) => bytes.len() as u64,
+      Self::Buffered(bytes) => bytes.len() as u64,
       Self::Streamed(body) => {
         let exact = body.borrow().as_ref().and_then(|body| body.size_hint().exact());
-        exact.unwrap_or(Self::HELD_BYTES_MAX)
+        exact.unwrap_or(Self::BUFFERED_BYTES_MAX)
       }
     }
   }
--- a/src/proxy/lent_body.rs
+++ b/src/proxy/returnable_body.rs
@@ -1,13 +1,13 @@
 use super::*;
 
 /// A request body that streams to one try and returns to its owner if none of it was read.
-pub struct LentBody {
+pub struct ReturnableBody {
   body: Option<Incoming>,
   is_read: bool,
   owner: Rc<RefCell<Option<Incoming>>>,
 }
 
-impl LentBody {
+impl ReturnableBody {
   /// Takes the body for a try. Returns `None` if another try has it.
   pub fn of(owner: &Rc<RefCell<Option<Incoming>>>) -> Option<Self> {
     let body = owner.borrow_mut().take()?;
@@ -15,7 +15,7 @@
   }
 }
 
-impl Body for LentBody {
+impl Body for ReturnableBody {
   type Data = Bytes;
   type Error = web::Error;
 
@@ -39,7 +39,7 @@
   }
 }
 
-impl Drop for LentBody {
+impl Drop for ReturnableBody {
   fn drop(&mut self) {
     if !self.is_read {
       *self.owner.borrow_mut() = self.body.take();
--- a/src/proxy/held_run.rs
+++ b/src/proxy/run_guard.rs
@@ -2,7 +2,7 @@
 
 /// A run of a request at the backend server. Dropping it before it ends counts as a cancellation by
 /// the sender.
-pub struct HeldRun {
+pub struct RunGuard {
   fingerprint: Fingerprint,
   id: RequestId,
   is_on_trial: bool,
@@ -10,7 +10,7 @@
   shared: Rc<Shared>,
 }
 
-impl HeldRun {
+impl RunGuard {
   /// Begins a run, unless the request is quarantined.
   pub fn begin(
     shared: &Rc<Shared>,
@@ -50,7 +50,7 @@
   }
 }
 
-impl Drop for HeldRun {
+impl Drop for RunGuard {
   fn drop(&mut self) {
     self.end(RunEnd::Cancelled);
   }
--- a/src/proxy/held_slot.rs
+++ b/src/proxy/slot_guard.rs
@@ -1,23 +1,23 @@
 use super::*;
 
 /// A slot of the backend server, or a place in the queue for one. Released when dropped.
-pub struct HeldSlot {
+pub struct SlotGuard {
   shared: Rc<Shared>,
   ticket: Ticket,
 }
 
-impl HeldSlot {
+impl SlotGuard {
   /// Waits for a slot, as long as one may become free in time.
   pub async fn take(
     shared: &Rc<Shared>,
-    forwarded: &Forwarded,
+    forwarded: &ForwardedRequest,
   ) -> std::result::Result<Self, AttemptOutcome> {
     let now = shared.now().time;
     let ticket = shared.names.ticket();
     let demand = Demand {
       class: forwarded.class.clone(),
       due: forwarded.urgency.due,
-      patience: if forwarded.insists { forwarded.urgency.wait_until } else { now },
+      patience: if forwarded.may_queue { forwarded.urgency.wait_until } else { now },
       priority: forwarded.urgency.priority,
     };
     let arrival = shared.limiter.borrow_mut().arrive(now, ticket, demand);
@@ -45,7 +45,7 @@
   }
 }
 
-impl Drop for HeldSlot {
+impl Drop for SlotGuard {
   fn drop(&mut self) {
     self.shared.waiting.borrow_mut().remove(&self.ticket);
     let now = self.shared.now().time;
--- a/src/proxy/delivered_body.rs
+++ b/src/proxy/tracked_body.rs
@@ -2,23 +2,23 @@
 
 /// The body of an answer that is being sent. Counts the bytes sent and logs if the answer is cut
 /// off.
-pub(super) struct DeliveredBody {
+pub(super) struct TrackedBody {
   answer: OpenAnswer,
-  exchange: HeldExchange,
+  exchange: ExchangeGuard,
   inner: AnyBody,
   /// Whether sending has begun and not yet ended.
   is_under_way: bool,
 }
 
-impl DeliveredBody {
+impl TrackedBody {
   /// Wraps the body of the answer of an exchange.
-  pub(super) fn new(inner: AnyBody, exchange: HeldExchange) -> Self {
+  pub(super) fn new(inner: AnyBody, exchange: ExchangeGuard) -> Self {
     let answer = OpenAnswer { sent_bytes: 0, total_bytes: inner.size_hint().exact() };
     Self { answer, exchange, inner, is_under_way: false }
   }
 }
 
-impl Body for DeliveredBody {
+impl Body for TrackedBody {
   type Data = Bytes;
   type Error = web::BodyError;
 
@@ -32,11 +32,11 @@
       Poll::Ready(None) => self.is_under_way = false,
       Poll::Ready(Some(Ok(frame))) => {
         self.answer.sent_bytes += frame.data_ref().map_or(0, |data| data.len() as u64);
-        self.exchange.note(self.answer);
+        self.exchange.record_sent(self.answer);
       }
       Poll::Ready(Some(Err(err))) => {
         self.is_under_way = false;
-        self.exchange.broke_off(self.answer, &err.to_string());
+        self.exchange.log_cut_off(self.answer, &err.to_string());
       }
       Poll::Pending => {}
     }
@@ -52,10 +52,10 @@
   }
 }
 
-impl Drop for DeliveredBody {
+impl Drop for TrackedBody {
   fn drop(&mut self) {
     if self.is_under_way && !self.inner.is_end_stream() {
-      self.exchange.broke_off(self.answer, "its connection closed before the end");
+      self.exchange.log_cut_off(self.answer, "its connection closed before the end");
     }
   }
 }
--- a/src/proxy/body_in_turn.rs
+++ b/src/proxy/transfer_body.rs
@@ -1,19 +1,19 @@
 use super::*;
 
 /// A request body that releases its transfer slot once it ends or fails.
-pub struct BodyInTurn {
+pub struct TransferBody {
   inner: AnyBody,
-  turn: Option<HeldTurn>,
+  slot: Option<TransferSlot>,
 }
 
-impl BodyInTurn {
+impl TransferBody {
   /// Wraps a body that holds a transfer slot.
-  pub fn new(inner: AnyBody, turn: HeldTurn) -> Self {
-    Self { inner, turn: Some(turn) }
+  pub fn new(inner: AnyBody, slot: TransferSlot) -> Self {
+    Self { inner, slot: Some(slot) }
   }
 }
 
-impl Body for BodyInTurn {
+impl Body for TransferBody {
   type Data = Bytes;
   type Error = web::BodyError;
 
@@ -24,7 +24,7 @@
     let polled = Pin::new(&mut self.inner).poll_frame(context);
     let is_over = matches!(&polled, Poll::Ready(None | Some(Err(_))));
     if is_over || self.inner.is_end_stream() {
-      self.turn = None;
+      self.slot = None;
     }
     polled
   }
--- a/src/proxy/held_turn.rs
+++ b/src/proxy/transfer_slot.rs
@@ -2,34 +2,34 @@
 
 /// A transfer slot for a large body on the box's network link, or a place in the queue for one.
 /// Released when dropped.
-pub struct HeldTurn {
+pub struct TransferSlot {
   shared: Rc<Shared>,
   ticket: Ticket,
 }
 
-impl HeldTurn {
+impl TransferSlot {
   /// Waits for a transfer slot, at most as long as the request may queue.
   pub async fn take(
     shared: &Rc<Shared>,
-    forwarded: &Forwarded,
+    forwarded: &ForwardedRequest,
     bytes: u64,
   ) -> std::result::Result<Self, AttemptOutcome> {
-    let turn = Self { shared: shared.clone(), ticket: shared.names.ticket() };
-    if shared.body_turns.borrow_mut().arrive(turn.ticket, bytes) {
-      return Ok(turn);
+    let slot = Self { shared: shared.clone(), ticket: shared.names.ticket() };
+    if shared.body_turns.borrow_mut().arrive(slot.ticket, bytes) {
+      return Ok(slot);
     }
     let (admit, admitted) = futures_channel::oneshot::channel();
-    shared.waiting.borrow_mut().insert(turn.ticket, admit);
-    let patience_ms = forwarded.urgency.wait_until.since_ms(shared.now().time);
-    if let Ok(Ok(())) = timer::timeout(Duration::from_millis(patience_ms), admitted).await {
-      return Ok(turn);
+    shared.waiting.borrow_mut().insert(slot.ticket, admit);
+    let wait_max_ms = forwarded.urgency.wait_until.since_ms(shared.now().time);
+    if let Ok(Ok(())) = timer::timeout(Duration::from_millis(wait_max_ms), admitted).await {
+      return Ok(slot);
     }
     let reason = "the box's network link was busy with other bodies for too long";
     Err(AttemptOutcome::declined(reason, Shared::RETRY_AFTER_MS))
   }
 }
 
-impl Drop for HeldTurn {
+impl Drop for TransferSlot {
   fn drop(&mut self) {
     self.shared.waiting.borrow_mut().remove(&self.ticket);
     let admitted = self.shared.body_turns.borrow_mut().leave(self.ticket);
--- a/src/proxy/tries.rs
+++ b/src/proxy/tries.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-use super::arrivals::{self, Found};
+use super::arrivals::{self, QueryResult};
 
 use futures_util::{Stream, stream::FuturesUnordered};
 
@@ -10,21 +10,21 @@
   /// Answers of which one may be returned to the caller.
   answers: Vec<(TryId, Response<AnyBody>)>,
   /// Queries to boxes whether a try arrived there.
-  asking: FuturesUnordered<Asking>,
-  running: FuturesUnordered<Try>,
+  queries: FuturesUnordered<PendingQuery>,
+  running: FuturesUnordered<RunningTry>,
 }
 
 /// A pending query about a try.
-type Asking = Pin<Box<dyn Future<Output = (TryId, Found)>>>;
+type PendingQuery = Pin<Box<dyn Future<Output = (TryId, QueryResult)>>>;
 
 /// An event of the tries of a request.
-enum Happened {
+enum TryEvent {
   /// A query about a try ended.
-  Asked(TryId, Found),
+  QueryEnded(TryId, QueryResult),
   /// A try ended.
-  Ended(EndedTry),
+  TryEnded(EndedTry),
   /// No try or query is in flight.
-  Nothing,
+  Idle,
 }
 
 impl Tries {
@@ -32,20 +32,20 @@
   pub fn start(
     &mut self,
     shared: &Rc<Shared>,
-    forwarded: &Forwarded,
+    forwarded: &ForwardedRequest,
     body: RequestBody,
     order: TryOrder,
   ) {
     let key = TryKey(shared.make_seed());
     let order = Rc::new(order);
-    let (running_shared, forwarded) = (shared.clone(), forwarded.insisting(order.may_queue));
+    let (running_shared, forwarded) = (shared.clone(), forwarded.with_queueing(order.may_queue));
     let ordered = order.clone();
     let running =
       Box::pin(
         async move { forward::attempt(&running_shared, &forwarded, body, &ordered, key).await },
       );
     let (shared, started_us) = (shared.clone(), shared.elapsed_us());
-    self.running.push(Try { key, order, running, shared, started_us });
+    self.running.push(RunningTry { key, order, running, shared, started_us });
   }
 
   /// Asks the box of a try whether it arrived there.
@@ -57,7 +57,7 @@
     let shared = shared.clone();
     let age_ms = (shared.elapsed_us() - asked.started_us).div_ceil(1_000);
     self
-      .asking
+      .queries
       .push(Box::pin(async move { (id, arrivals::ask(&shared, &order, key, age_ms).await) }));
   }
 
@@ -69,35 +69,35 @@
     body: &RequestBody,
     attempts: &mut Vec<Attempt>,
   ) -> DispatchEvent {
-    let happened = match wake_at {
+    let event = match wake_at {
       Some(wake_at) => {
         let pause = Duration::from_millis(wake_at.since_ms(shared.now().time));
-        timer::timeout(pause, self.happened()).await
+        timer::timeout(pause, self.next_event()).await
       }
-      None => Ok(self.happened().await),
+      None => Ok(self.next_event().await),
     };
-    match happened {
-      Ok(Happened::Asked(id, found)) => self.asked(id, found, body, attempts),
-      Ok(Happened::Ended(ended)) => self.ended(ended, body, attempts),
-      // `Dispatch` decides to wait only while a try is in flight, so `Nothing` is not expected.
-      Ok(Happened::Nothing) | Err(_) => DispatchEvent::Woken,
+    match event {
+      Ok(TryEvent::QueryEnded(id, found)) => self.query_ended(id, found, body, attempts),
+      Ok(TryEvent::TryEnded(ended)) => self.try_ended(ended, body, attempts),
+      // `Dispatch` decides to wait only while a try is in flight, so `Idle` is not expected.
+      Ok(TryEvent::Idle) | Err(_) => DispatchEvent::Woken,
     }
   }
 
-  fn happened(&mut self) -> impl Future<Output = Happened> {
+  fn next_event(&mut self) -> impl Future<Output = TryEvent> {
     std::future::poll_fn(|context| {
       if let Poll::Ready(Some(ended)) = Pin::new(&mut self.running).poll_next(context) {
-        return Poll::Ready(Happened::Ended(ended));
+        return Poll::Ready(TryEvent::TryEnded(ended));
       }
-      if let Poll::Ready(Some((id, found))) = Pin::new(&mut self.asking).poll_next(context) {
-        return Poll::Ready(Happened::Asked(id, found));
+      if let Poll::Ready(Some((id, found))) = Pin::new(&mut self.queries).poll_next(context) {
+        return Poll::Ready(TryEvent::QueryEnded(id, found));
       }
-      let is_idle = self.running.is_empty() && self.asking.is_empty();
-      if is_idle { Poll::Ready(Happened::Nothing) } else { Poll::Pending }
+      let is_idle = self.running.is_empty() && self.queries.is_empty();
+      if is_idle { Poll::Ready(TryEvent::Idle) } else { Poll::Pending }
     })
   }
 
-  fn ended(
+  fn try_ended(
     &mut self,
     ended: EndedTry,
     body: &RequestBody,
@@ -108,27 +108,27 @@
     if let Ok(answer) = ended.result {
       self.answers.push((id, answer));
     }
-    DispatchEvent::Ended { body_resendable: body.is_left(), id, outcome }
+    DispatchEvent::Ended { body_resendable: body.is_available(), id, outcome }
   }
 
   /// Handles the result of a query about a try that is still in flight.
-  fn asked(
+  fn query_ended(
     &mut self,
     id: TryId,
-    found: Found,
+    found: QueryResult,
     body: &RequestBody,
     attempts: &mut Vec<Attempt>,
   ) -> DispatchEvent {
     match found {
-      Found::Answered(result) => self.answered_again(id, result, body, attempts),
-      Found::Ended => self.overdue(id),
-      Found::NeverArrived => self.never_arrived(id, body, attempts),
-      Found::StillOut => DispatchEvent::StillPending { id },
+      QueryResult::Answered(result) => self.answered_by_query(id, result, body, attempts),
+      QueryResult::Ended => self.overdue(id),
+      QueryResult::NeverArrived => self.never_arrived(id, body, attempts),
+      QueryResult::StillPending => DispatchEvent::StillPending { id },
     }
   }
 
   /// Ends a try with the answer that the query returned, and abandons the try's own connection.
-  fn answered_again(
+  fn answered_by_query(
     &mut self,
     id: TryId,
     result: AttemptResult,
@@ -139,8 +139,8 @@
       return DispatchEvent::StillPending { id };
     };
     asked.log("the answer of a try did not arrive, and a query returned it");
-    let ended = asked.ending_with(result);
-    self.ended(ended, body, attempts)
+    let ended = asked.end_with(result);
+    self.try_ended(ended, body, attempts)
   }
 
   /// Ends a try that its box rejects from now on: it has not run and never will.
@@ -158,7 +158,7 @@
     attempts.push(asked.attempt(AttemptOutcome::not_run(reason, 0)));
     // Dropping the try returns its unread body before the body is checked below.
     drop(asked);
-    DispatchEvent::NeverArrived { body_resendable: body.is_left(), id }
+    DispatchEvent::NeverArrived { body_resendable: body.is_available(), id }
   }
 
   /// Reports a try whose box already sent the answer, which has not arrived.
@@ -170,8 +170,8 @@
   }
 
   /// Removes a try from those in flight.
-  fn take(&mut self, id: TryId) -> Option<Try> {
-    let (taken, others): (Vec<Try>, Vec<Try>) =
+  fn take(&mut self, id: TryId) -> Option<RunningTry> {
+    let (taken, others): (Vec<RunningTry>, Vec<RunningTry>) =
       std::mem::take(&mut self.running).into_iter().partition(|one| one.order.id == id);
     self.running = others.into_iter().collect();
     taken.into_iter().next()
@@ -179,7 +179,7 @@
 
   /// Returns the answer of a try. Records the tries that are abandoned for it in `attempts`.
   pub fn finish(mut self, id: TryId, attempts: &mut Vec<Attempt>) -> AttemptResult {
-    attempts.extend(self.running.iter().map(Try::given_up));
+    attempts.extend(self.running.iter().map(RunningTry::abandoned));
     let index = self.answers.iter().position(|(own, _)| *own == id);
     let lost = || AttemptOutcome::Unknown { reason: "the answer was lost in transit".into() };
     index.map(|index| self.answers.swap_remove(index).1).ok_or_else(lost)
@@ -187,7 +187,7 @@
 }
 
 /// A try in flight at one backend server.
-struct Try {
+struct RunningTry {
   key: TryKey,
   order: Rc<TryOrder>,
   running: Pin<Box<dyn Future<Output = AttemptResult>>>,
@@ -202,7 +202,7 @@
   result: AttemptResult,
 }
 
-impl Try {
+impl RunningTry {
   /// Logs what a query revealed about the try.
   fn log(&self, what: &'static str) {
     info!(
@@ -213,7 +213,7 @@
   }
 
   /// Returns the record of a try that is abandoned because another one answered first.
-  fn given_up(&self) -> Attempt {
+  fn abandoned(&self) -> Attempt {
     let reason = "another try answered first".into();
     self.attempt(AttemptOutcome::Unknown { reason })
   }
@@ -227,7 +227,7 @@
     }
   }
 
-  fn ending_with(&self, result: AttemptResult) -> EndedTry {
+  fn end_with(&self, result: AttemptResult) -> EndedTry {
     let known = match &result {
       Ok(response) => AttemptOutcome::Answered { status: response.status().as_u16() },
       Err(outcome) => outcome.clone(),
@@ -236,13 +236,13 @@
   }
 }
 
-impl Future for Try {
+impl Future for RunningTry {
   type Output = EndedTry;
 
   fn poll(mut self: Pin<&mut Self>, context: &mut Context) -> Poll<EndedTry> {
     let Poll::Ready(result) = self.running.as_mut().poll(context) else {
       return Poll::Pending;
     };
-    Poll::Ready(self.ending_with(result))
+    Poll::Ready(self.end_with(result))
   }
 }
