--- a/src/proxy/arrivals.rs
+++ b/src/proxy/arrivals.rs
@@ -1,42 +1,44 @@
-//! Asking the box of a try, over a fresh connection, whether the try arrived there: the connection that it was
-//! sent on may have gone silent.
+//! Asks the box of a try, over a new connection, whether the try arrived there: the connection on
+//! which it was sent may be dead.
 
 use super::*;
 
-use super::{egress::not_of_this_fleet, forward::read_peer_answer};
+use super::{egress::invalid_seal, forward::read_peer_answer};
 
-/// Largest answer in bytes that is kept, so that it can be given again where it was lost on the way back.
-const KEPT_BYTES_MAX: usize = 16_384;
+/// Largest answer in bytes that is retained, so that it can be sent again if it was lost in
+/// transit.
+const RETAINED_ANSWER_BYTES_MAX: usize = 16_384;
 
-/// Milliseconds within which a box must say what it knows of a try; see [`ReceivedAttempts::query`].
-const ASK_TIMEOUT_MS: u64 = 1_000;
+/// Timeout in milliseconds of a query about a try; see [`ReceivedAttempts::query`].
+const QUERY_TIMEOUT_MS: u64 = 1_000;
 
-/// A try that came from another daemon. Where it is dropped before its end, its sender went away.
-pub(super) struct ArrivedTry {
+/// A try received from another daemon. If it is dropped before it ends, its sender disconnected.
+pub(super) struct ReceivedTry {
   key: Option<TryKey>,
   shared: Rc<Shared>,
 }
 
-impl ArrivedTry {
-  /// Notes a try that arrived; nothing where it must not run, for its sender was told so.
-  pub(super) fn note(shared: &Rc<Shared>, key: TryKey) -> Option<Self> {
+impl ReceivedTry {
+  /// Records a try that arrived. Returns `None` if it must not run because its sender was already
+  /// told that it never arrived.
+  pub(super) fn record(shared: &Rc<Shared>, key: TryKey) -> Option<Self> {
     let may_run = shared.arrivals.borrow_mut().arrive(shared.now().time, key);
     may_run.then(|| Self { key: Some(key), shared: shared.clone() })
   }
 
-  /// Keeps a small answer to a request that may not run again, so that its sender can ask for it. Others are
-  /// asked for elsewhere.
-  pub(super) async fn keep(
+  /// Retains a small answer to a request that may not run again, so that its sender can ask for it.
+  /// Other requests are retried at another box instead.
+  pub(super) async fn retain_answer(
     mut self,
-    forwarded: &Forwarded,
+    forwarded: &ForwardedRequest,
     response: Response<AnyBody>,
   ) -> Response<AnyBody> {
     let size = response.body().size_hint().exact();
-    if forwarded.repeatable || size.is_none_or(|size| size > KEPT_BYTES_MAX as u64) {
+    if forwarded.repeatable || size.is_none_or(|size| size > RETAINED_ANSWER_BYTES_MAX as u64) {
       return response.map(|body| body.keeping(self));
     }
     let (head, body) = response.into_parts();
-    match web::collect(body, KEPT_BYTES_MAX).await {
+    match web::collect(body, RETAINED_ANSWER_BYTES_MAX).await {
       Ok(body) => {
         self.end(Some(Rc::new(KeptAnswer::of(&head, &body))));
         Response::from_parts(head, web::full(body))
@@ -55,18 +57,18 @@
   }
 }
 
-impl Drop for ArrivedTry {
+impl Drop for ReceivedTry {
   fn drop(&mut self) {
     self.end(None);
   }
 }
 
-/// What another daemon proves with the fleet key when it asks for a try.
+/// Text that a daemon seals with the fleet key when it asks about a try.
 fn sealed_text(key: TryKey, age_ms: u64) -> String {
   format!("arrival {key} {age_ms}")
 }
 
-/// Tells another daemon what is known of a try.
+/// Answers another daemon's query about a try.
 pub(super) fn answer(shared: &Shared, asked: &HeaderMap) -> Response<AnyBody> {
   let key = headers::parsed::<TryKey>(asked, headers::ARRIVAL);
   let age_ms = headers::parsed::<u64>(asked, headers::AGE_MS);
@@ -75,24 +77,24 @@
     return web::text(StatusCode::BAD_REQUEST, "a question for a try lacks a header");
   };
   if !shared.is_sealed(&sealed_text(key, age_ms), &seal) {
-    return not_of_this_fleet(shared).response(&shared.names.request_id(), false);
+    return invalid_seal(shared).response(&shared.names.request_id(), false);
   }
   let found = shared.arrivals.borrow_mut().query(shared.now().time, key, age_ms);
-  let told = told(&found);
+  let status = status_name(&found);
   info!(
-    shared.log.logger, #Log::REQUEST, "a daemon asked for a try";
-    "try" => key.0, "age_ms" => age_ms, "found" => told
+    shared.log.logger, #Log::REQUEST, "a daemon asked about a try";
+    "try" => key.0, "age_ms" => age_ms, "found" => status
   );
   let mut response = match found {
     AttemptStatus::Answered(kept) => kept.response(),
     _ => web::text(StatusCode::OK, ""),
   };
-  headers::set(response.headers_mut(), headers::ARRIVAL, told);
+  headers::set(response.headers_mut(), headers::ARRIVAL, status);
   response
 }
 
-/// How an answer names what is known of a try.
-fn told<A>(found: &AttemptStatus<A>) -> &'static str {
+/// Returns the value of the arrival header for the status of a try.
+fn status_name<A>(found: &AttemptStatus<A>) -> &'static str {
   match found {
     AttemptStatus::Answered(_) => ANSWERED,
     AttemptStatus::Ended => ENDED,
@@ -106,39 +108,44 @@
 const ENDED: &str = "ended";
 const NEVER_ARRIVED: &str = "never-arrived";
 
-/// What came of the question for a try.
-pub(super) enum Found {
-  /// The answer of its backend server, or what its daemon said in its place, given once more.
+/// Result of a query about a try.
+pub(super) enum QueryResult {
+  /// The try ended with this answer of its backend server, or this refusal of its daemon.
   Answered(AttemptResult),
-  /// Its answer was given a while ago.
+  /// The try ended a while ago; its answer was sent and is not retained.
   Ended,
-  /// It has not run, and never will.
+  /// The try has not run and never will.
   NeverArrived,
-  /// It may still run, or nobody can tell.
-  StillOut,
+  /// The try may still run, or its status is unknown.
+  StillPending,
 }
 
-/// Asks the box of a try, which was sent `age_ms` ago, whether it arrived.
-pub(super) async fn ask(shared: &Rc<Shared>, order: &TryOrder, key: TryKey, age_ms: u64) -> Found {
+/// Asks the box of a try whether the try, sent `age_ms` milliseconds ago, arrived there.
+pub(super) async fn ask(
+  shared: &Rc<Shared>,
+  order: &TryOrder,
+  key: TryKey,
+  age_ms: u64,
+) -> QueryResult {
   let asked_at = shared.now().time;
-  let limit = Duration::from_millis(ASK_TIMEOUT_MS);
-  let asking = exchange(shared, order, key, age_ms + ASK_TIMEOUT_MS);
-  let answered = timer::timeout(limit, asking).await;
-  // Where this process stood still meanwhile, the answer may be older than the question allows.
-  let is_late = shared.now().time.since_ms(asked_at) > ASK_TIMEOUT_MS;
+  let limit = Duration::from_millis(QUERY_TIMEOUT_MS);
+  let query = exchange(shared, order, key, age_ms + QUERY_TIMEOUT_MS);
+  let answered = timer::timeout(limit, query).await;
+  // If this process was paused meanwhile, the answer may be older than the query allows.
+  let is_late = shared.now().time.since_ms(asked_at) > QUERY_TIMEOUT_MS;
   let Some(mut response) = answered.ok().and_then(Result::ok).filter(|_| !is_late) else {
-    return Found::StillOut;
+    return QueryResult::StillPending;
   };
-  let told = response.headers_mut().remove(headers::ARRIVAL);
-  match told.as_ref().and_then(|told| told.to_str().ok()) {
+  let status = response.headers_mut().remove(headers::ARRIVAL);
+  match status.as_ref().and_then(|status| status.to_str().ok()) {
     Some(NEVER_ARRIVED) => {
-      // Others that rest may be as dead, and the next tries would be lost on them.
+      // Other idle connections may be dead too, and the next tries would be lost on them.
       shared.peer_pool.forget_idle();
-      Found::NeverArrived
+      QueryResult::NeverArrived
     }
-    Some(ANSWERED) => Found::Answered(read_peer_answer(response, &mut None).await),
-    Some(ENDED) => Found::Ended,
-    _ => Found::StillOut,
+    Some(ANSWERED) => QueryResult::Answered(read_peer_answer(response, &mut None).await),
+    Some(ENDED) => QueryResult::Ended,
+    _ => QueryResult::StillPending,
   }
 }
 
--- a/src/proxy/held_claim.rs
+++ b/src/proxy/claimed_run.rs
@@ -1,34 +1,34 @@
-//! Runs a request that must run at most once, between taking its claim and recording its result.
+//! Runs a request that may run at most once: claims its key, runs it and records its result.
 
 use super::*;
 
-/// Largest result in bytes.
+/// Largest answer in bytes to a request that may run at most once.
 const RESULT_BYTES_MAX: usize = 8 << 20;
 
-/// Largest result in bytes that the claim keeps for repetitions.
-const RECORDED_BYTES_MAX: usize = 65_536;
+/// Largest result in bytes that the claim stores for replay to repeated requests.
+const REPLAYED_BYTES_MAX: usize = 65_536;
 
-/// Milliseconds for which a caller's answer waits for its record.
-const RECORD_PATIENCE_MS: u64 = 1_000;
+/// Milliseconds for which the answer to the caller waits until the result is recorded.
+const RECORD_TIMEOUT_MS: u64 = 1_000;
 
-/// Milliseconds for which a record is tried on behind the answer.
-const RECORD_STUBBORN_MS: u64 = 600_000;
+/// Milliseconds for which recording is retried in the background after the answer was sent.
+const BACKGROUND_TIMEOUT_MS: u64 = 600_000;
 
-/// Milliseconds after which a repetition may ask again.
+/// Retry delay in milliseconds for a repeated request whose first run has not ended.
 const RUNNING_RETRY_MS: u64 = 500;
 
-/// What became of a claimed request.
+/// Outcome of a request with a claimed key.
 pub struct ClaimedOutcome {
   /// The answer to the caller.
   pub answer: std::result::Result<Response<AnyBody>, Refusal>,
-  /// What became of the claim, for the record.
+  /// Outcome of the claim, for the request record.
   pub claim: String,
 }
 
-/// Claims the key, runs the request where the claim is held, and records the result.
+/// Claims the key, runs the request if the claim succeeds, and records the result.
 pub async fn run(
   shared: &Rc<Shared>,
-  forwarded: Forwarded,
+  forwarded: ForwardedRequest,
   ticket: ClaimTicket,
   body: Bytes,
   attempts: &mut Vec<Attempt>,
@@ -36,19 +36,19 @@
   let now = shared.now();
   let mut claim = Claim::new(ticket, forwarded.deadline, now.unix_ms, shared.make_seed());
   let step = claim.take();
-  let settlement = drive(shared, &mut claim, step).await;
-  let (name, answer) = match settlement {
+  let outcome = settle(shared, &mut claim, step).await;
+  let (name, answer) = match outcome {
     ClaimOutcome::Held(revision) => {
       let answer = run_held(shared, &forwarded, claim, revision, body, attempts).await;
       ("held", answer)
     }
     ClaimOutcome::Mismatch => {
       let reason = "the key came before with another request: use a new key";
-      ("mismatch", Err(Refusal::wrong(StatusCode::UNPROCESSABLE_ENTITY, reason)))
+      ("mismatch", Err(Refusal::permanent(StatusCode::UNPROCESSABLE_ENTITY, reason)))
     }
-    ClaimOutcome::Repeated(state) => ("repeated", repeat(&forwarded, state)),
+    ClaimOutcome::Repeated(state) => ("repeated", answer_repeat(&forwarded, state)),
     ClaimOutcome::NotRun { reason } => {
-      give_back(shared, claim);
+      release_in_background(shared, claim);
       ("not taken", Err(Refusal::not_run(StatusCode::SERVICE_UNAVAILABLE, reason, 1_000)))
     }
     ClaimOutcome::Recorded | ClaimOutcome::Unrecorded { .. } => {
@@ -60,19 +60,19 @@
 
 async fn run_held(
   shared: &Rc<Shared>,
-  forwarded: &Forwarded,
+  forwarded: &ForwardedRequest,
   claim: Claim,
   revision: Revision,
   body: Bytes,
   attempts: &mut Vec<Attempt>,
 ) -> std::result::Result<Response<AnyBody>, Refusal> {
-  let answer = forward::forward(shared, forwarded, RequestBody::Held(body), attempts).await;
+  let answer = forward::forward(shared, forwarded, RequestBody::Buffered(body), attempts).await;
   let whole = match answer {
-    Ok(response) => hold(response).await,
+    Ok(response) => collect_answer(response).await,
     Err(outcome) => Err(outcome),
   };
   let state = match &whole {
-    Ok((head, body)) => done(head, body),
+    Ok((head, body)) => completed_state(head, body),
     Err(AttemptOutcome::NotRun { .. }) => ClaimState::Released,
     Err(outcome) => ClaimState::Unknown { reason: outcome.to_string() },
   };
@@ -81,8 +81,8 @@
   Ok(Response::from_parts(head, web::full(body)))
 }
 
-/// The whole answer of a backend server.
-async fn hold(
+/// Buffers the complete answer of a backend server.
+async fn collect_answer(
   response: Response<AnyBody>,
 ) -> std::result::Result<(http::response::Parts, Bytes), AttemptOutcome> {
   let (head, body) = response.into_parts();
@@ -93,8 +93,8 @@
   Ok((head, body))
 }
 
-fn done(head: &http::response::Parts, body: &Bytes) -> ClaimState {
-  let text = std::str::from_utf8(body).ok().filter(|text| text.len() <= RECORDED_BYTES_MAX);
+fn completed_state(head: &http::response::Parts, body: &Bytes) -> ClaimState {
+  let text = std::str::from_utf8(body).ok().filter(|text| text.len() <= REPLAYED_BYTES_MAX);
   ClaimState::Done {
     body: text.map(ToString::to_string),
     content_type: headers::text(&head.headers, "content-type").map(ToString::to_string),
@@ -102,39 +102,43 @@
   }
 }
 
-/// Records what became of the request. Where the store does not answer, goes on behind the caller's
-/// answer.
+/// Records the outcome of the request. If the store does not answer in time, continues in the
+/// background so that the caller gets the answer.
 async fn record(shared: &Rc<Shared>, mut claim: Claim, state: ClaimState, revision: Revision) {
   let now = shared.now();
-  let deadline = now.time.after(RECORD_PATIENCE_MS);
+  let deadline = now.time.after(RECORD_TIMEOUT_MS);
   let step = claim.record(state.clone(), revision, deadline, now.unix_ms);
-  if drive(shared, &mut claim, step).await == ClaimOutcome::Recorded {
+  if settle(shared, &mut claim, step).await == ClaimOutcome::Recorded {
     return;
   }
   let shared = shared.clone();
   monoio::spawn(async move {
     let now = shared.now();
-    let deadline = now.time.after(RECORD_STUBBORN_MS);
+    let deadline = now.time.after(BACKGROUND_TIMEOUT_MS);
     let step = claim.record(state, revision, deadline, now.unix_ms);
-    if let ClaimOutcome::Unrecorded { reason } = drive(&shared, &mut claim, step).await {
-      warn!(shared.log.logger, "a claim's result could not be recorded"; "reason" => reason);
+    if let ClaimOutcome::Unrecorded { reason } = settle(&shared, &mut claim, step).await {
+      warn!(
+        shared.log.logger, "the result of a claimed request could not be recorded";
+        "reason" => reason
+      );
     }
   });
 }
 
-/// Undoes a claim of unknown fate behind the caller's answer, so that a later try may run.
-fn give_back(shared: &Rc<Shared>, mut claim: Claim) {
+/// Releases, in the background, a claim that may or may not be in the store, so that a later
+/// request with the key may run.
+fn release_in_background(shared: &Rc<Shared>, mut claim: Claim) {
   let shared = shared.clone();
   monoio::spawn(async move {
     let now = shared.now();
-    let step = claim.release(now.time.after(RECORD_STUBBORN_MS), now.unix_ms);
-    drive(&shared, &mut claim, step).await;
+    let step = claim.release(now.time.after(BACKGROUND_TIMEOUT_MS), now.unix_ms);
+    settle(&shared, &mut claim, step).await;
   });
 }
 
-/// What a repetition of a key hears.
-fn repeat(
-  forwarded: &Forwarded,
+/// Returns the answer to a repeated request with the same key.
+fn answer_repeat(
+  forwarded: &ForwardedRequest,
   state: ClaimState,
 ) -> std::result::Result<Response<AnyBody>, Refusal> {
   match state {
@@ -164,8 +168,8 @@
   response
 }
 
-/// Carries out the steps of a claim until it is settled.
-async fn drive(shared: &Shared, claim: &mut Claim, first: ClaimStep) -> ClaimOutcome {
+/// Executes the steps of a claim until its outcome is known.
+async fn settle(shared: &Shared, claim: &mut Claim, first: ClaimStep) -> ClaimOutcome {
   let mut step = first;
   loop {
     step = match step {
@@ -173,7 +177,7 @@
         let result = shared.call_store(request).await;
         claim.answered(shared.now().time, result)
       }
-      ClaimStep::Settled(settlement) => return settlement,
+      ClaimStep::Settled(outcome) => return outcome,
       ClaimStep::Wait { pause_ms } => {
         timer::sleep(Duration::from_millis(pause_ms)).await;
         claim.resumed()
--- a/src/proxy/membership.rs
+++ b/src/proxy/organisation_admission.rs
@@ -1,14 +1,14 @@
-//! Which organisation a caller belongs to, and whether its rate limit admits the request.
+//! Identifies the organisation of a caller and applies its rate limit.
 
 use super::*;
 
-use super::egress::not_of_this_fleet;
+use super::egress::invalid_seal;
 
-/// Milliseconds within which the daemon that keeps a ledger must answer: many round trips between regions, and little
-/// of the time that a request has.
+/// Timeout in milliseconds of a draw from the owner of a ledger. It allows many round trips between
+/// regions and is a small part of a request's timeout.
 const DRAW_TIMEOUT_MS: u64 = 200;
 
-/// The organisation whose key the request carries; nothing where it needs none.
+/// Returns the organisation whose key the request carries, or `None` if the request needs no key.
 pub(super) fn identify(
   shared: &Shared,
   matched: &RouteMatch,
@@ -26,23 +26,24 @@
   match keys.identify(headers.get(http::header::AUTHORIZATION)) {
     Ok(member) => Ok(Some(member)),
     Err(_) if matched.handling.public => Ok(None),
-    Err(fault) => Err(unproved(shared, fault)),
+    Err(fault) => Err(invalid_key(shared, fault)),
   }
 }
 
-/// A request without a key that holds. One that a newer version may know is not the caller's mistake.
-fn unproved(shared: &Shared, fault: KeyFault) -> Refusal {
+/// Refuses a request without a valid key. If a newer version may contain the key, the caller is not
+/// at fault and is told to retry.
+fn invalid_key(shared: &Shared, fault: KeyFault) -> Refusal {
   match shared.newer_version() {
     Some(newer) if fault == KeyFault::Unknown => {
       let reason = format!("{fault}, and version {newer} is not in force here yet");
-      Refusal::not_run(StatusCode::SERVICE_UNAVAILABLE, reason, carry::BEHIND_RETRY_MS)
+      Refusal::not_run(StatusCode::SERVICE_UNAVAILABLE, reason, ingress::NEWER_VERSION_RETRY_MS)
     }
-    _ => Refusal::wrong(StatusCode::UNAUTHORIZED, fault.to_string()),
+    _ => Refusal::permanent(StatusCode::UNAUTHORIZED, fault.to_string()),
   }
 }
 
-/// A request that its organisation's rate limit admitted. Its token is given back unless a backend server may have
-/// got the request.
+/// A request that its organisation's rate limit admitted. Returns its token when dropped, unless a
+/// backend server may have received the request.
 pub(super) struct AdmittedRequest {
   organisation: Option<OrganisationName>,
   shared: Rc<Shared>,
@@ -72,8 +73,8 @@
     }
   }
 
-  /// A backend server may have got the request: its token is spent.
-  pub fn spend(mut self) {
+  /// Spends the token, as a backend server may have received the request.
+  pub fn spend_token(mut self) {
     self.organisation = None;
   }
 }
@@ -104,7 +105,7 @@
   }
 }
 
-/// Draws tokens, and wakes those who wait for them.
+/// Draws tokens and wakes the requests that wait for them.
 async fn draw(
   shared: Rc<Shared>,
   organisation: OrganisationName,
@@ -132,7 +133,7 @@
   }
 }
 
-/// One draw; nothing where the daemon that keeps the ledger does not answer.
+/// Draws tokens once. Returns `None` if the owner of the ledger does not answer.
 async fn draw_once(
   shared: &Rc<Shared>,
   organisation: &OrganisationName,
@@ -150,7 +151,7 @@
   timer::timeout(limit, ask(shared, address, organisation, wanted)).await.ok()?
 }
 
-/// What another daemon proves with the fleet key when it draws tokens.
+/// Text that a daemon seals with the fleet key when it draws tokens.
 fn sealed_text(organisation: &OrganisationName, wanted: u64) -> String {
   format!("draw {organisation} {wanted}")
 }
@@ -170,7 +171,7 @@
   headers::set(headers, headers::SEAL, shared.seal(&sealed_text(organisation, wanted)));
   let response = shared.peer_pool.send(client, request, None).await.ok()?;
   let (head, body) = response.into_parts();
-  // The whole is read, so that the connection serves the next draw.
+  // The body is read to its end so that the next draw can reuse the connection.
   web::collect(body, ANSWER_BYTES_MAX).await.ok()?;
   let tokens = headers::parsed(&head.headers, headers::DRAW)?;
   let retry_after_ms = headers::parsed(&head.headers, headers::RETRY_AFTER_MS)?;
@@ -180,7 +181,7 @@
 /// Largest body of an answer to a draw, in bytes.
 const ANSWER_BYTES_MAX: usize = 1_024;
 
-/// Gives another daemon tokens of an organisation whose ledger this one keeps.
+/// Grants tokens to another daemon from a ledger that this daemon owns.
 pub(super) fn answer(shared: &Shared, asked: &HeaderMap) -> Response<AnyBody> {
   let wanted = headers::parsed::<u64>(asked, headers::DRAW);
   let organisation = headers::parsed::<OrganisationName>(asked, headers::ORGANISATION);
@@ -189,7 +190,7 @@
     return web::text(StatusCode::BAD_REQUEST, "a draw lacks a header");
   };
   if !shared.is_sealed(&sealed_text(&organisation, wanted), &seal) {
-    return not_of_this_fleet(shared).response(&shared.names.request_id(), false);
+    return invalid_seal(shared).response(&shared.names.request_id(), false);
   }
   let Some(limit) = shared.rate_limit(&organisation) else {
     let reason = format!("no rate limit of {organisation} is in force here");
--- a/src/proxy/tries.rs
+++ b/src/proxy/tries.rs
@@ -1,30 +1,30 @@
 use super::*;
 
-use super::arrivals::{self, Found};
+use super::arrivals::{self, QueryResult};
 
 use futures_util::{Stream, stream::FuturesUnordered};
 
-/// The tries of one request: those under way, and the answers of those that ended.
+/// The tries of one request: those in flight and the answers of those that ended.
 #[derive(Default)]
 pub struct Tries {
-  /// Answers that may still become the caller's.
+  /// Answers of which one may be returned to the caller.
   answers: Vec<(TryId, Response<AnyBody>)>,
-  /// Questions to boxes whether a try arrived there.
-  asking: FuturesUnordered<Asking>,
-  running: FuturesUnordered<Try>,
+  /// Queries to boxes whether a try arrived there.
+  queries: FuturesUnordered<PendingQuery>,
+  running: FuturesUnordered<RunningTry>,
 }
 
-/// A question for a try, under way.
-type Asking = Pin<Box<dyn Future<Output = (TryId, Found)>>>;
+/// A pending query about a try.
+type PendingQuery = Pin<Box<dyn Future<Output = (TryId, QueryResult)>>>;
 
-/// What happened to the tries.
-enum Happened {
-  /// A box was asked for a try.
-  Asked(TryId, Found),
+/// An event of the tries of a request.
+enum TryEvent {
+  /// A query about a try ended.
+  QueryEnded(TryId, QueryResult),
   /// A try ended.
-  Ended(EndedTry),
-  /// Nothing is under way.
-  Nothing,
+  TryEnded(EndedTry),
+  /// No try or query is in flight.
+  Idle,
 }
 
 impl Tries {
@@ -32,20 +32,20 @@
   pub fn start(
     &mut self,
     shared: &Rc<Shared>,
-    forwarded: &Forwarded,
+    forwarded: &ForwardedRequest,
     body: RequestBody,
     order: TryOrder,
   ) {
     let key = TryKey(shared.make_seed());
     let order = Rc::new(order);
-    let (running_shared, forwarded) = (shared.clone(), forwarded.insisting(order.may_queue));
+    let (running_shared, forwarded) = (shared.clone(), forwarded.with_queueing(order.may_queue));
     let ordered = order.clone();
     let running =
       Box::pin(
         async move { forward::attempt(&running_shared, &forwarded, body, &ordered, key).await },
       );
     let (shared, started_us) = (shared.clone(), shared.elapsed_us());
-    self.running.push(Try { key, order, running, shared, started_us });
+    self.running.push(RunningTry { key, order, running, shared, started_us });
   }
 
   /// Asks the box of a try whether it arrived there.
@@ -57,11 +57,11 @@
     let shared = shared.clone();
     let age_ms = (shared.elapsed_us() - asked.started_us).div_ceil(1_000);
     self
-      .asking
+      .queries
       .push(Box::pin(async move { (id, arrivals::ask(&shared, &order, key, age_ms).await) }));
   }
 
-  /// Waits until a try ends or the decision wants to be woken. Notes a try that ended.
+  /// Waits until a try or query ends, or until `wake_at`. Records a try that ended in `attempts`.
   pub async fn next(
     &mut self,
     shared: &Shared,
@@ -69,35 +69,35 @@
     body: &RequestBody,
     attempts: &mut Vec<Attempt>,
   ) -> DispatchEvent {
-    let happened = match wake_at {
+    let event = match wake_at {
       Some(wake_at) => {
         let pause = Duration::from_millis(wake_at.since_ms(shared.now().time));
-        timer::timeout(pause, self.happened()).await
+        timer::timeout(pause, self.next_event()).await
       }
-      None => Ok(self.happened().await),
+      None => Ok(self.next_event().await),
     };
-    match happened {
-      Ok(Happened::Asked(id, found)) => self.asked(id, found, body, attempts),
-      Ok(Happened::Ended(ended)) => self.ended(ended, body, attempts),
-      // A decision to wait is made only while a try is under way.
-      Ok(Happened::Nothing) | Err(_) => DispatchEvent::Woken,
+    match event {
+      Ok(TryEvent::QueryEnded(id, found)) => self.query_ended(id, found, body, attempts),
+      Ok(TryEvent::TryEnded(ended)) => self.try_ended(ended, body, attempts),
+      // `Dispatch` decides to wait only while a try is in flight, so `Idle` is not expected.
+      Ok(TryEvent::Idle) | Err(_) => DispatchEvent::Woken,
     }
   }
 
-  fn happened(&mut self) -> impl Future<Output = Happened> {
+  fn next_event(&mut self) -> impl Future<Output = TryEvent> {
     std::future::poll_fn(|context| {
       if let Poll::Ready(Some(ended)) = Pin::new(&mut self.running).poll_next(context) {
-        return Poll::Ready(Happened::Ended(ended));
+        return Poll::Ready(TryEvent::TryEnded(ended));
       }
-      if let Poll::Ready(Some((id, found))) = Pin::new(&mut self.asking).poll_next(context) {
-        return Poll::Ready(Happened::Asked(id, found));
+      if let Poll::Ready(Some((id, found))) = Pin::new(&mut self.queries).poll_next(context) {
+        return Poll::Ready(TryEvent::QueryEnded(id, found));
       }
-      let is_idle = self.running.is_empty() && self.asking.is_empty();
-      if is_idle { Poll::Ready(Happened::Nothing) } else { Poll::Pending }
+      let is_idle = self.running.is_empty() && self.queries.is_empty();
+      if is_idle { Poll::Ready(TryEvent::Idle) } else { Poll::Pending }
     })
   }
 
-  fn ended(
+  fn try_ended(
     &mut self,
     ended: EndedTry,
     body: &RequestBody,
@@ -108,27 +108,27 @@
     if let Ok(answer) = ended.result {
       self.answers.push((id, answer));
     }
-    DispatchEvent::Ended { body_resendable: body.is_left(), id, outcome }
+    DispatchEvent::Ended { body_resendable: body.is_available(), id, outcome }
   }
 
-  /// Takes what a box said of a try, where that one is still under way.
-  fn asked(
+  /// Handles the result of a query about a try that is still in flight.
+  fn query_ended(
     &mut self,
     id: TryId,
-    found: Found,
+    found: QueryResult,
     body: &RequestBody,
     attempts: &mut Vec<Attempt>,
   ) -> DispatchEvent {
     match found {
-      Found::Answered(result) => self.answered_again(id, result, body, attempts),
-      Found::Ended => self.overdue(id),
-      Found::NeverArrived => self.never_arrived(id, body, attempts),
-      Found::StillOut => DispatchEvent::StillPending { id },
+      QueryResult::Answered(result) => self.answered_by_query(id, result, body, attempts),
+      QueryResult::Ended => self.overdue(id),
+      QueryResult::NeverArrived => self.never_arrived(id, body, attempts),
+      QueryResult::StillPending => DispatchEvent::StillPending { id },
     }
   }
 
-  /// The answer of a try came with that to the question. On its own connection it is given up.
-  fn answered_again(
+  /// Ends a try with the answer that the query returned, and abandons the try's own connection.
+  fn answered_by_query(
     &mut self,
     id: TryId,
     result: AttemptResult,
@@ -138,12 +138,12 @@
     let Some(asked) = self.take(id) else {
       return DispatchEvent::StillPending { id };
     };
-    asked.log("the answer of a try is not here, and was asked for again");
-    let ended = asked.ending_with(result);
-    self.ended(ended, body, attempts)
+    asked.log("the answer of a try did not arrive, and a query returned it");
+    let ended = asked.end_with(result);
+    self.try_ended(ended, body, attempts)
   }
 
-  /// A try is barred at its box: it has not run, and never will.
+  /// Ends a try that its box rejects from now on: it has not run and never will.
   fn never_arrived(
     &mut self,
     id: TryId,
@@ -153,41 +153,41 @@
     let Some(asked) = self.take(id) else {
       return DispatchEvent::StillPending { id };
     };
-    asked.log("a try never arrived: its connection is dead");
+    asked.log("a try never arrived: its connection was dead");
     let reason = "it never arrived: the connection to the box was dead";
     attempts.push(asked.attempt(AttemptOutcome::not_run(reason, 0)));
-    // What the try held of the body goes back before anybody looks for it.
+    // Dropping the try returns its unread body before the body is checked below.
     drop(asked);
-    DispatchEvent::NeverArrived { body_resendable: body.is_left(), id }
+    DispatchEvent::NeverArrived { body_resendable: body.is_available(), id }
   }
 
-  /// A box gave the answer of a try a while ago, and it is not here.
+  /// Reports a try whose box already sent the answer, which has not arrived.
   fn overdue(&self, id: TryId) -> DispatchEvent {
     if let Some(overdue) = self.running.iter().find(|one| one.order.id == id) {
-      overdue.log("the answer of a try was given a while ago, and is not here");
+      overdue.log("the answer of a try was already sent, and has not arrived");
     }
     DispatchEvent::Overdue { id }
   }
 
-  /// Takes a try out of those under way.
-  fn take(&mut self, id: TryId) -> Option<Try> {
-    let (taken, others): (Vec<Try>, Vec<Try>) =
+  /// Removes a try from those in flight.
+  fn take(&mut self, id: TryId) -> Option<RunningTry> {
+    let (taken, others): (Vec<RunningTry>, Vec<RunningTry>) =
       std::mem::take(&mut self.running).into_iter().partition(|one| one.order.id == id);
     self.running = others.into_iter().collect();
     taken.into_iter().next()
   }
 
-  /// The answer of a try. Notes those that are given up for it.
+  /// Returns the answer of a try. Records the tries that are abandoned for it in `attempts`.
   pub fn finish(mut self, id: TryId, attempts: &mut Vec<Attempt>) -> AttemptResult {
-    attempts.extend(self.running.iter().map(Try::given_up));
+    attempts.extend(self.running.iter().map(RunningTry::abandoned));
     let index = self.answers.iter().position(|(own, _)| *own == id);
     let lost = || AttemptOutcome::Unknown { reason: "the answer was lost on the way".into() };
     index.map(|index| self.answers.swap_remove(index).1).ok_or_else(lost)
   }
 }
 
-/// One try at one backend server, under way.
-struct Try {
+/// A try in flight at one backend server.
+struct RunningTry {
   key: TryKey,
   order: Rc<TryOrder>,
   running: Pin<Box<dyn Future<Output = AttemptResult>>>,
@@ -202,8 +202,8 @@
   result: AttemptResult,
 }
 
-impl Try {
-  /// Tells the log what became known of the try by asking for it.
+impl RunningTry {
+  /// Logs what a query revealed about the try.
   fn log(&self, what: &'static str) {
     info!(
       self.shared.log.logger, #Log::REQUEST, "{}", what;
@@ -212,8 +212,8 @@
     );
   }
 
-  /// What is known of a try that is given up, for another one answered first.
-  fn given_up(&self) -> Attempt {
+  /// Returns the record of a try that is abandoned because another one answered first.
+  fn abandoned(&self) -> Attempt {
     let reason = "another try answered first".into();
     self.attempt(AttemptOutcome::Unknown { reason })
   }
@@ -227,7 +227,7 @@
     }
   }
 
-  fn ending_with(&self, result: AttemptResult) -> EndedTry {
+  fn end_with(&self, result: AttemptResult) -> EndedTry {
     let known = match &result {
       Ok(response) => AttemptOutcome::Answered { status: response.status().as_u16() },
       Err(outcome) => outcome.clone(),
@@ -236,13 +236,13 @@
   }
 }
 
-impl Future for Try {
+impl Future for RunningTry {
   type Output = EndedTry;
 
   fn poll(mut self: Pin<&mut Self>, context: &mut Context) -> Poll<EndedTry> {
     let Poll::Ready(result) = self.running.as_mut().poll(context) else {
       return Poll::Pending;
     };
-    Poll::Ready(self.ending_with(result))
+    Poll::Ready(self.end_with(result))
   }
 }
--- a/src/requests/dispatch.rs
+++ b/src/requests/dispatch.rs
@@ -143,7 +143,7 @@
     if !self.running.is_empty() {
       return DispatchStep::Wait;
     }
-    let outcome = AttemptOutcome::not_run("the connection to the box was lost", 0);
+    let outcome = AttemptOutcome::not_run("the connection to its box was dead", 0);
     if self.is_last(&outcome, body_resendable, context.now) || !self.may_retry(&outcome, context) {
       return self.give_up(outcome, context);
     }
--- a/src/rollout/rollout/deciding.rs
+++ b/src/rollout/rollout/deciding.rs
@@ -27,10 +27,10 @@
     match &record.stage {
       Stage::Canary(canary) => self.stage_after_canary(view, record, canary, &target),
       Stage::Full if self.is_old_version_idle(view, record) => Ok(Stage::Completed),
-      Stage::Full => Err("the old version still runs requests"),
+      Stage::Full => Err("requests still run at the old version"),
       Stage::Halted { reason } => Ok(Stage::RolledBack { reason: reason.clone() }),
       Stage::Waiting => self.first_canary(view, record, &target),
-      Stage::Completed | Stage::RolledBack { .. } => Err("the rollout has ended"),
+      Stage::Completed | Stage::RolledBack { .. } => Err("it is over"),
     }
   }
 
@@ -61,19 +61,19 @@
     // The first step needs few of the new backend servers, the later ones enough for most requests.
     let needs_most_slots = canary.step_index > 0;
     if !self.has_step_elapsed(view.now, record, canary) {
-      return Err("the current share has not run for its planned time");
+      return Err("this share has not lasted its time");
     }
     if !self.has_recent_evidence(view.now, target) {
-      return Err("too few boxes of the new version report its answers");
+      return Err("too few boxes of the new version tell of its answers");
     }
     if needs_most_slots && !self.has_most_slots(view, record, target) {
-      return Err("the new version has too few slots to take most requests");
+      return Err("the new version has too few slots for most requests");
     }
     // After the steps that reveal a bad version, waiting would only expose it to more requests.
     if canary.step_index + 1 == CanaryStep::FIRST_LARGE
       && !self.is_exposure_acceptable(view, record)
     {
-      return Err("the new version has received as many requests as a bad one may");
+      return Err("the new version has received as much as a bad one may");
     }
     if canary.step_index + 1 >= CanaryStep::ALL.len() {
       return Ok(Stage::Full);
