--- a/src/configuration/accepted_change.rs
+++ b/src/configuration/accepted_change.rs
@@ -1,18 +1,18 @@
 use super::*;
 
-/// A change with the version that it made. The base and demands of the change no longer matter.
+/// An accepted change with the version that it created. Its base and preconditions are dropped.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct AcceptedChange {
-  /// The digest of the configuration that the change made.
+  /// The digest of the configuration after the change.
   pub digest: Digest,
-  /// The steps, in order.
+  /// The operations, in order.
   pub operations: Vec<Operation>,
   /// Who made the change, when and why.
   pub summary: Summary,
 }
 
 impl AcceptedChange {
-  /// The version that the change made.
+  /// The version that the change created.
   pub fn version(&self) -> Version {
     self.summary.version
   }
--- a/src/configuration/caller_limits.rs
+++ b/src/configuration/caller_limits.rs
@@ -1,21 +1,21 @@
 use super::*;
 
-/// What callers may send, and how long they may take or rest.
+/// Limits on the size of callers' requests and on the time that these take.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallerLimits {
-  /// Largest body in bytes.
+  /// Largest request body in bytes.
   pub body_bytes_max: u64,
-  /// Largest head in bytes.
+  /// Largest request head in bytes.
   pub head_bytes_max: usize,
-  /// Milliseconds for which a head may take to arrive.
+  /// Milliseconds within which the whole request head must arrive.
   pub head_timeout_ms: u64,
-  /// Milliseconds for which a connection may rest between two requests.
+  /// Milliseconds for which a connection may be idle between two requests.
   pub idle_timeout_ms: u64,
 }
 
 impl Default for CallerLimits {
-  /// What holds where no configuration says otherwise: generous enough for browsers and uploads.
+  /// The limits if the configuration sets none: large enough for browsers and uploads.
   fn default() -> Self {
     Self {
       body_bytes_max: 1 << 30,
--- a/src/configuration/change.rs
+++ b/src/configuration/change.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-/// An operators' change: a transaction on a base version.
+/// An operator's change to the configuration: a transaction on a base version.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Change {
-  /// The version that the operator saw. Objects changed since then conflict.
+  /// The version that the operator saw. Changing an object that changed since then is a conflict.
   pub base: Version,
-  /// Kept through every retry, so that a retry finds out whether the change took effect.
+  /// Stays the same in retries, so that a retry detects whether the change took effect.
   pub id: ChangeId,
-  /// The version that must be the newest one, where the operator demanded it.
+  /// The version that must be the newest one for the change to be accepted, if any.
   #[serde(default, skip_serializing_if = "Option::is_none")]
   pub only_at: Option<Version>,
-  /// The steps, in order. All of them take effect, or none.
+  /// The operations, in order. All of them take effect, or none.
   pub operations: Vec<Operation>,
   /// Who made the change.
   pub operator: Operator,
--- a/src/configuration/cold_start.rs
+++ b/src/configuration/cold_start.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-/// What a backend server of a service takes while it is cold, as after its start.
+/// The load that a backend server of a service can take while it is cold, such as after its start.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ColdStart {
-  /// Milliseconds for which it stays cold at most, where it does not tell.
+  /// Longest time that it stays cold, in milliseconds, if it does not report that itself.
   pub duration_ms: u64,
-  /// Requests that it can take from all daemons together. Above zero.
+  /// Request rate that it can take from all daemons together. Above zero.
   pub rate: Rate,
 }
--- a/src/configuration/configuration.rs
+++ b/src/configuration/configuration.rs
@@ -1,14 +1,15 @@
 use super::*;
 
-/// One whole, numbered version of everything the operators decided.
+/// One complete, numbered version of everything that operators configure.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Configuration {
-  /// Boxes that receive no new work.
+  /// Boxes that receive no new requests.
   pub drains: BTreeMap<BoxId, Revised<Drain>>,
-  /// What callers may send.
+  /// Limits on callers' requests.
   #[serde(default, skip_serializing_if = "Option::is_none")]
   pub limits: Option<CallerLimits>,
-  /// Organisations. Where there are any, each request carries a key of one, but on public routes.
+  /// Organisations. If there are any, each request must carry a key of one, except on public
+  /// routes.
   #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
   pub organisations: BTreeMap<OrganisationName, Revised<Organisation>>,
   /// Backend server policies.
@@ -22,9 +23,13 @@
 }
 
 impl Configuration {
-  /// Makes the next version out of `change`, checked whole. `self` stays as it is.
+  /// Validates `change` against this version and returns it as the change to the next version.
   ///
-  /// `history` names the author of a conflicting change.
+  /// `history` serves to name the author of a conflicting change.
+  ///
+  /// # Errors
+  ///
+  /// Fails if the change conflicts, or if its result is invalid or too large for the store.
   pub fn accept(&self, change: &Change, history: &[Summary]) -> Result<AcceptedChange> {
     if change.operations.is_empty() {
       return Err(Error::Empty);
@@ -45,7 +50,7 @@
     })
   }
 
-  /// The configuration that `change` makes of this one, proved by its digest.
+  /// Returns the configuration after `change`. Fails if an operation does, or the digest differs.
   pub fn apply(&self, change: &AcceptedChange) -> Result<Self> {
     let next = self.after(change.version(), &change.operations)?;
     if next.digest() != change.digest {
@@ -73,12 +78,12 @@
     Err(Error::Conflict { by: by.cloned().map(Box::new), object: object.clone() })
   }
 
-  /// The digest of the whole, encoded form.
+  /// The digest of the encoded configuration.
   pub fn digest(&self) -> Digest {
     Digest::of(self.encode().as_bytes())
   }
 
-  /// The whole as JSON. Equal configurations give equal text.
+  /// Encodes the configuration as JSON. Equal configurations give equal text.
   pub fn encode(&self) -> String {
     to_json(self)
   }
@@ -115,7 +120,7 @@
     drains.chain(organisations).chain(policies).chain(routes).chain(services).collect()
   }
 
-  /// How many objects there are.
+  /// The number of objects.
   pub fn object_count(&self) -> usize {
     let organisations = self.organisations.len();
     self.drains.len()
@@ -187,18 +192,18 @@
     Ok(())
   }
 
-  /// Checks that every reference resolves and limits are sane.
+  /// Checks that every reference resolves and that numbers are within their limits.
   ///
-  /// The size is no part of it: only who writes a version into the store must make it fit there. Who is
-  /// told of an accepted version may hold it in a longer form, and refusing it for that would leave the
-  /// box with the version before for good.
+  /// The size is not checked: only a writer must make a version fit the store. A reader's encoding
+  /// of an accepted version may be longer, and refusing it would leave the box at the previous
+  /// version for good.
   pub fn validate(&self) -> Result {
     self.validate_policies()?;
     self.validate_services()?;
     self.validate_routes()
   }
 
-  /// Checks that the whole fits the store, as who writes it must.
+  /// Checks that the encoded configuration fits the store. Needed before it is written.
   fn check_size(&self) -> Result {
     let bytes = self.encode().len();
     if bytes > ENCODED_BYTES_MAX {
--- a/src/configuration/drain.rs
+++ b/src/configuration/drain.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// An operator's order that a box receives no new work.
+/// An operator's order that a box receives no new requests.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Drain {
--- a/src/configuration/error.rs
+++ b/src/configuration/error.rs
@@ -3,42 +3,42 @@
 /// Why a change is not accepted, or an update does not apply.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Error {
-  /// Someone changed the same object since the base version.
+  /// Another change modified the same object since the base version.
   Conflict {
-    /// Who changed it, where history still knows.
+    /// The other change, if the history still contains it.
     by: Option<Box<Summary>>,
     /// The object that both changes touch.
     object: ObjectName,
   },
-  /// The result differs from what the sender made.
+  /// The result does not match the digest that the update carries.
   Digest {
-    /// The version in question.
+    /// The version of the result.
     version: Version,
   },
-  /// The change has no steps.
+  /// The change has no operations.
   Empty,
-  /// A number lies outside its limits.
+  /// A value is out of its limits.
   Limit {
-    /// The limits.
+    /// The allowed values.
     allowed: &'static str,
     /// The field.
     field: &'static str,
-    /// The object that carries the field.
+    /// The object that has the field.
     object: ObjectName,
   },
-  /// The object is not in the configuration.
+  /// The object to delete does not exist.
   Missing {
     /// The object.
     object: ObjectName,
   },
-  /// An object names another one that does not exist.
+  /// An object refers to another one that does not exist.
   Reference {
-    /// The object that names it.
+    /// The object that holds the reference.
     object: ObjectName,
-    /// The object that is not there.
+    /// The object that does not exist.
     target: ObjectName,
   },
-  /// Two routes ask the same of a request, so one of them would never be used.
+  /// Two routes match the same requests, so one of them would never be used.
   Shadowed {
     /// One route.
     first: RouteName,
@@ -50,9 +50,9 @@
     /// Its encoded size in bytes.
     bytes: usize,
   },
-  /// The newest version is not the demanded one.
+  /// The newest version is not the one that the change requires.
   VersionMoved {
-    /// The demanded version.
+    /// The required version.
     demanded: Version,
     /// The newest version.
     newest: Version,
--- a/src/configuration/handling.rs
+++ b/src/configuration/handling.rs
@@ -1,35 +1,35 @@
 use super::*;
 
-/// How requests of one route are carried. The default leaves all of it to the service's policy.
+/// How requests of one route are handled. The default leaves everything to the service's policy.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Handling {
-  /// Backend servers to which one request may be sent. The policy decides where absent.
+  /// Largest number of backend servers that one request is sent to. The policy's where absent.
   #[serde(skip_serializing_if = "Option::is_none")]
   pub attempts: Option<u32>,
-  /// Rank among the routes of a service, 0 first.
+  /// Priority among the routes of a service; 0 is served first.
   #[serde(skip_serializing_if = "is_zero")]
   pub priority: u32,
-  /// Whether callers need no key of an organisation.
+  /// Whether callers need no organisation's key.
   #[serde(skip_serializing_if = "std::ops::Not::not")]
   pub public: bool,
   /// The regions in which requests may be served; any where empty.
   #[serde(skip_serializing_if = "BTreeSet::is_empty")]
   pub regions: BTreeSet<Region>,
-  /// Whether a backend server's answer of 500 to a request that may run again is asked for elsewhere.
+  /// Whether a repeatable request that a backend server answers with 500 is retried on another one.
   #[serde(skip_serializing_if = "std::ops::Not::not")]
   pub retry_failures: bool,
-  /// Whether a request that is not repeatable is kept from running twice by being sent to one
-  /// backend server only, rather than by a claim in the store.
+  /// Whether a request that is not repeatable is protected from running twice by sending it to only
+  /// one backend server, instead of by a claim in the store.
   #[serde(skip_serializing_if = "std::ops::Not::not")]
   pub sent_once: bool,
-  /// Services that share the requests by weight. The route's service alone where empty.
+  /// Services among which requests are split by weight. Only the route's service where empty.
   #[serde(skip_serializing_if = "Vec::is_empty")]
   pub split: Vec<WeightedService>,
   /// Milliseconds within which callers expect an answer.
   #[serde(skip_serializing_if = "Option::is_none")]
   pub target_ms: Option<u64>,
-  /// Milliseconds for which a request may be held. The policy decides where absent.
+  /// Milliseconds that a request may take. The policy's where absent.
   #[serde(skip_serializing_if = "Option::is_none")]
   pub timeout_ms: Option<u64>,
 }
--- a/src/configuration/head.rs
+++ b/src/configuration/head.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-/// The store's record of the newest version. One compare-and-swap of it accepts a change.
+/// The store's record of the newest version. A change is accepted by one compare-and-swap of it.
 ///
-/// The whole configuration of version `snapshot_version` is a value of its own; `tail` holds the
-/// changes since then, and a few older ones, so that a watcher need not read the snapshot whenever
-/// there is a new one.
+/// The complete configuration of version `snapshot_version` is stored under a key of its own.
+/// `tail` holds the changes since then and a few older ones, so that a watcher that is only a few
+/// versions behind need not read a new snapshot.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Head {
   /// The newest accepted changes, oldest first, at most [`Head::HISTORY_MAX`].
@@ -13,7 +13,7 @@
   pub snapshot_digest: Digest,
   /// The version of the snapshot. Never above `version`.
   pub snapshot_version: Version,
-  /// The last changes, without gaps up to `version`: all those above `snapshot_version`, and at most
+  /// The last changes, up to `version` without gaps: all after `snapshot_version`, and at most
   /// [`Head::TAIL_KEPT`] older ones.
   pub tail: Vec<AcceptedChange>,
   /// The newest version.
@@ -21,13 +21,13 @@
 }
 
 impl Head {
-  /// Accepted changes that history keeps.
+  /// Largest number of changes in the history.
   pub const HISTORY_MAX: usize = 200;
-  /// Bytes of encoded changes above which the next change starts from a new snapshot.
+  /// Bytes of encoded changes since the snapshot above which the next change stores a new snapshot.
   pub const TAIL_BYTES_MAX: usize = 64_000;
-  /// Changes that stay in the tail although a snapshot holds their result.
+  /// Changes that are retained in the tail when a snapshot that contains them is stored.
   pub const TAIL_KEPT: usize = 4;
-  /// Changes above which the next change starts from a new snapshot.
+  /// Number of changes since the snapshot at which the next change stores a new snapshot.
   pub const TAIL_MAX: usize = 32;
 
   /// The digest of the newest version.
@@ -35,7 +35,7 @@
     self.tail.last().map_or(self.snapshot_digest, |change| change.digest)
   }
 
-  /// The head that follows once `change` is accepted.
+  /// Returns the head after `change` is accepted.
   #[must_use]
   pub fn with(&self, change: AcceptedChange) -> Self {
     let mut next = self.clone();
@@ -47,8 +47,7 @@
     next
   }
 
-  /// The head that follows once `change` is accepted and `configuration`, its result, is stored as
-  /// the snapshot.
+  /// Returns the head after `change` is accepted and its result is stored as the snapshot.
   #[must_use]
   pub fn with_snapshot(&self, change: AcceptedChange) -> Self {
     let (digest, version) = (change.digest, change.version());
@@ -60,12 +59,12 @@
     next
   }
 
-  /// The changes above the snapshot.
+  /// The changes after the snapshot.
   pub fn since_snapshot(&self) -> impl Iterator<Item = &AcceptedChange> {
     self.tail.iter().filter(|change| change.version() > self.snapshot_version)
   }
 
-  /// Whether the tail has grown so long that the next change should store a snapshot.
+  /// Whether the tail is so long that `change` should be stored with a new snapshot.
   pub fn wants_snapshot(&self, change: &AcceptedChange) -> bool {
     if self.since_snapshot().count() >= Self::TAIL_MAX {
       return true;
@@ -75,7 +74,7 @@
     bytes + encoded(change) > Self::TAIL_BYTES_MAX
   }
 
-  /// Whether the change of that id was accepted, and as which version, as far as history goes.
+  /// The version that the change of that id created; `None` if the history does not contain it.
   pub fn version_of(&self, id: &ChangeId) -> Option<Version> {
     self.history.iter().find(|summary| summary.id == *id).map(|summary| summary.version)
   }
--- a/src/configuration/mod.rs
+++ b/src/configuration/mod.rs
@@ -1,7 +1,8 @@
-//! The configuration: routes, services, organisations, backend server policies and drains, as one numbered whole.
+//! The configuration: routes, services, organisations, backend server policies and drains,
+//! versioned as a whole.
 //!
-//! Everything here is pure. A [`Change`] turns one [`Configuration`] into the next; the store's
-//! [`Head`] records which changes were accepted, in order.
+//! Nothing here does I/O. A [`Change`] turns one [`Configuration`] into the next. The [`Head`] in
+//! the store records the accepted changes in order.
 
 use super::*;
 
@@ -41,9 +42,9 @@
 mod unreadable;
 mod weighted_service;
 
-/// Result of a step on the configuration.
+/// Result of an operation on the configuration.
 pub type Result<T = (), E = Error> = std::result::Result<T, E>;
 
-/// Largest encoded configuration in bytes that may be written: what the store's value of one megabyte
-/// holds.
+/// Largest encoded configuration in bytes that may be written: the store holds values of up to one
+/// megabyte.
 pub const ENCODED_BYTES_MAX: usize = 1_000_000;
--- a/src/configuration/object.rs
+++ b/src/configuration/object.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// One object of the configuration with its name.
+/// One configuration object with its name.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Object {
--- a/src/configuration/object_name.rs
+++ b/src/configuration/object_name.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Names one object of the configuration.
+/// The kind and name of one configuration object.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ObjectName {
--- a/src/configuration/patch.rs
+++ b/src/configuration/patch.rs
@@ -1,34 +1,34 @@
 use super::*;
 
-/// What leads from one whole version to a later one, for configurations that come from a
-/// [`Source`]: their versions have gaps, and their objects carry no revision.
+/// The difference between two versions of a configuration from a [`Source`]. Such versions have
+/// gaps, and their objects carry no revision.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Patch {
-  /// The version that it starts from.
+  /// The version that the patch applies to.
   #[serde(rename = "b")]
   pub base: Version,
-  /// The digest of that version.
+  /// The digest of the base version.
   #[serde(rename = "d")]
   pub base_digest: Digest,
-  /// The digest of the version that it leads to.
+  /// The digest of the resulting version.
   #[serde(rename = "n")]
   pub digest: Digest,
-  /// What callers may send from then on.
+  /// The resulting version's limits on callers' requests.
   #[serde(rename = "l")]
   pub limits: Option<CallerLimits>,
-  /// Objects that change.
+  /// The changes to objects.
   #[serde(rename = "o")]
   pub operations: Vec<Operation>,
-  /// The version that it leads to.
+  /// The resulting version.
   #[serde(rename = "v")]
   pub version: Version,
 }
 
 impl Patch {
-  /// The revision of objects that come from a source.
+  /// The revision of all objects that come from a source.
   pub const REVISION: Version = Version(0);
 
-  /// What leads from `base` to `next`, each with its digest.
+  /// The patch from `base` to `next`, each given with its digest.
   pub fn between(base: (&Configuration, Digest), next: (&Configuration, Digest)) -> Self {
     let (base, base_digest) = base;
     let (next, digest) = next;
@@ -42,7 +42,7 @@
     Self { base: base.version, base_digest, digest, limits, operations, version }
   }
 
-  /// The version that the patch makes of `base`, proved by its digest.
+  /// Applies the patch to `base`. Fails if an operation does, or if the digest differs.
   pub fn apply(&self, base: &Configuration) -> Result<Configuration> {
     let mut next = base.after(Self::REVISION, &self.operations)?;
     next.limits = self.limits;
--- a/src/configuration/policy.rs
+++ b/src/configuration/policy.rs
@@ -4,12 +4,12 @@
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Policy {
-  /// Tries of one request at most, the first included. From 1 to 10.
+  /// Largest number of attempts per request, including the first. From 1 to 10.
   pub attempts: u32,
   /// Milliseconds that a request may take where the caller gives no deadline. At least 1.
   pub deadline_ms: u64,
   /// The team that may change the policy.
   pub owner: Team,
-  /// Requests that may wait for a slot of one backend server.
+  /// Largest number of requests that wait for a slot of one backend server.
   pub queue_length: u32,
 }
--- a/src/configuration/rate_limit.rs
+++ b/src/configuration/rate_limit.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// A bound on requests, counted over the whole fleet.
+/// A limit on requests over the whole fleet.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RateLimit {
-  /// Requests beyond the rate that may come at once.
+  /// Requests that may arrive at once beyond the rate.
   pub burst: u64,
-  /// Requests that may come for as long as one likes. Above zero.
+  /// The sustained request rate. Above zero.
   pub rate: Rate,
 }
 
--- a/src/configuration/route.rs
+++ b/src/configuration/route.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-/// Sends requests that match to one service.
+/// Sends matching requests to a service.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-  /// How requests are carried.
+  /// How requests are handled.
   #[serde(default, skip_serializing_if = "Handling::is_default")]
   pub handling: Handling,
-  /// Headers that a request must carry, by lower-case name.
+  /// Headers that a request must have, by lower-case name.
   #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
   pub headers: BTreeMap<String, String>,
-  /// The host that a request must name; any host where absent.
+  /// The host that a request must be for; any host where absent.
   #[serde(default, skip_serializing_if = "Option::is_none")]
   pub host: Option<String>,
   /// The method that a request must use; any method where absent.
@@ -18,7 +18,7 @@
   pub method: Option<String>,
   /// The team that may change the route.
   pub owner: Team,
-  /// The path that a request must start with, on a segment border. Starts with `/`.
+  /// The path prefix that a request must match at a segment boundary. Starts with `/`.
   pub path_prefix: String,
   /// Whether a request may run more than once. Where false, requests carry a key and run at most
   /// once.
@@ -28,7 +28,7 @@
 }
 
 impl Route {
-  /// Whether `path` lies under the route's prefix, on a segment border.
+  /// Whether `path` has the route's prefix and the prefix ends at a segment boundary.
   pub fn covers_path(&self, path: &str) -> bool {
     let Some(rest) = path.strip_prefix(&self.path_prefix) else {
       return false;
@@ -42,12 +42,12 @@
     std::iter::once(&self.service).chain(shares)
   }
 
-  /// What the route asks of a request, for finding two routes that ask the same.
+  /// The conditions on a request, for finding two routes with equal ones.
   pub(super) fn conditions(&self) -> (Option<&str>, &str, Option<&str>, &BTreeMap<String, String>) {
     (self.host.as_deref(), &self.path_prefix, self.method.as_deref(), &self.headers)
   }
 
-  /// Orders routes by how much they ask of a request: host, path length, method, headers.
+  /// Sort key by which more specific routes are greater: host, path length, method, headers.
   pub fn specificity(&self) -> (bool, usize, bool, usize) {
     (self.host.is_some(), self.path_prefix.len(), self.method.is_some(), self.headers.len())
   }
--- a/src/configuration/summary.rs
+++ b/src/configuration/summary.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// What history keeps of an accepted change.
+/// The history's record of an accepted change.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Summary {
   /// The change's id.
@@ -14,21 +14,21 @@
   pub statement: String,
   /// The operator's team.
   pub team: Team,
-  /// The objects that the change touched.
+  /// The objects that the change touched, at most [`Summary::TOUCHED_MAX`].
   pub touched: Vec<ObjectName>,
   /// When the change was made, in milliseconds since 1970 by the accepting daemon's clock.
   pub unix_ms: u64,
-  /// The version that the change made.
+  /// The version that the change created.
   pub version: Version,
 }
 
 impl Summary {
-  /// Characters of a statement that history keeps.
+  /// Largest number of characters of a recorded statement.
   pub const STATEMENT_CHARS_MAX: usize = 200;
-  /// Touched objects that history names.
+  /// Largest number of recorded objects.
   pub const TOUCHED_MAX: usize = 16;
 
-  /// Summarizes `change` as the one that made `version`.
+  /// Summarizes `change`, which created `version`.
   pub fn of(change: &Change, version: Version) -> Self {
     Self {
       id: change.id.clone(),
--- a/src/configuration/unreadable.rs
+++ b/src/configuration/unreadable.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-/// Why a value is not taken for a configuration.
+/// Why a value could not be parsed as a configuration.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Unreadable {
-  /// What is wrong with it, and where.
+  /// What is wrong with the value, and where.
   pub reason: String,
-  /// The version that it names, where that much could be read.
+  /// The version that the value names, if that could be read.
   pub version: Option<Version>,
 }
 
 impl Unreadable {
-  /// A value of which not even the version is known.
+  /// Creates an error for a value whose version could not be read.
   pub fn unknown_version(reason: impl Display) -> Self {
     Self { reason: reason.to_string(), version: None }
   }
--- a/src/configuration/weighted_service.rs
+++ b/src/configuration/weighted_service.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-/// A service's share of the requests of a route.
+/// A service with its share of a route's requests.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct WeightedService {
   /// The service. Always a service of the same configuration.
   pub service: ServiceName,
-  /// The share, relative to the other weights of the route.
+  /// The share, relative to the sum of the route's weights.
   pub weight: u32,
 }
--- a/src/distribution/distributor/asking.rs
+++ b/src/distribution/distributor/asking.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Inquiries of the operators' side, gathered over the links.
+/// Queries of operators, which are forwarded over the links and whose answers are collected.
 impl Distributor {
   pub(super) fn asked(&mut self, question: &Question, token: u64) {
     let asker = Asker::Operator(token);
@@ -42,8 +42,8 @@
     }
   }
 
-  /// The neighbours that an inquiry goes on to: away from the asker, along the tree of
-  /// subscriptions and across the relays.
+  /// The neighbours that an inquiry is forwarded to: along the subscription tree and between
+  /// relays, never back to the asker.
   fn targets(&self, asker: &Asker, question: &Question) -> BTreeSet<LinkId> {
     let from = match asker {
       Asker::Neighbour(link, _) => Some(*link),
@@ -95,7 +95,7 @@
     std::iter::once(own).chain(served).collect()
   }
 
-  /// When the held version was applied, in milliseconds since 1970.
+  /// When the held version was applied, in milliseconds since 1970; 0 if none is held.
   pub(super) fn applied_unix_ms(&self) -> u64 {
     self.catalog.provenance().last().map_or(0, |provenance| provenance.applied_unix_ms)
   }
--- a/src/distribution/distributor/floor.rs
+++ b/src/distribution/distributor/floor.rs
@@ -1,29 +1,29 @@
 use super::*;
 
-/// How a fresh daemon learns how far its box, and the fleet, have been.
+/// Finds the floor of a restarted daemon: the lowest version that it may apply without going back.
 ///
-/// A restarted daemon holds nothing, so it asks some boxes which version they know its box, or
-/// themselves, to have held. It takes no configuration before enough of them answered, or before
-/// the store itself confirms the newest version.
+/// A restarted daemon holds no configuration. It asks other boxes for the highest version that they
+/// held, or know its own box to have held. It applies no configuration until enough boxes have
+/// answered, or until the store confirms the newest version.
 #[derive(Clone, Debug)]
 pub(super) struct Floor {
-  /// Boxes that are being asked.
+  /// Boxes with a query under way.
   asking: BTreeSet<BoxId>,
-  /// The newest update that came too early, with the link it came by.
+  /// The newest update received before the floor was known, with its link.
   pub(super) early: Option<(LinkId, Update)>,
   /// Boxes that answered.
   heard: BTreeSet<BoxId>,
-  /// Boxes whose answers suffice without the store.
+  /// Number of answers that suffice without the store.
   needed: usize,
   started_at: Time,
 }
 
 impl Floor {
-  /// Boxes asked at once.
+  /// Largest number of concurrent queries.
   const ASKING_MAX: usize = 3;
-  /// Boxes whose answers suffice in a fleet of any size. In a small one it is the majority.
+  /// Number of answers that suffice in a fleet of any size. A small fleet needs a majority only.
   const ENOUGH: usize = 9;
-  /// Milliseconds for which other boxes are asked although the store confirms the version.
+  /// Milliseconds for which other boxes are queried even if the store confirms the version.
   const WAIT_MS: u64 = 1_000;
 
   pub(super) fn new(now: Time, identity: &Identity) -> Self {
@@ -47,7 +47,7 @@
     now.since_ms(self.started_at) >= Self::WAIT_MS
   }
 
-  /// A box to ask, where one more is needed.
+  /// Picks another box to query at random; `None` if no further query is needed or possible.
   fn next(&mut self, identity: &Identity, rng: &mut ChaCha8Rng) -> Option<Peer> {
     if self.is_heard_enough() || self.asking.len() >= Self::ASKING_MAX {
       return None;
@@ -66,10 +66,10 @@
 }
 
 impl Distributor {
-  /// Milliseconds since the store's word within which a relay's version counts as confirmed.
+  /// Largest age, in milliseconds, of a store confirmation that a relay passes on.
   const CONFIRMED_MS: u64 = 15_000;
 
-  /// Whether this daemon may take a configuration.
+  /// Whether this daemon may apply a configuration.
   pub(super) fn is_floor_known(&self) -> bool {
     self.floor.is_heard_enough()
       || (self.floor.has_waited(self.now.time) && self.is_store_confirmed())
@@ -97,7 +97,7 @@
     }
   }
 
-  /// A box said how far it knows this box, or itself, to have been.
+  /// Takes in the highest version that another box held, or knows this box to have held.
   pub(super) fn floor_heard(&mut self, peer: BoxId, floor: Version) {
     if self.catalog.version().is_some() {
       return;
@@ -106,7 +106,7 @@
     self.catalog.raise_floor(floor);
   }
 
-  /// Whether a box is being asked for its floor alone.
+  /// Whether a floor query to the box is under way.
   pub(super) fn is_asking_floor(&self, box_id: &BoxId) -> bool {
     self.floor.asking.contains(box_id)
   }
@@ -115,7 +115,7 @@
     self.floor.asking.remove(box_id);
   }
 
-  /// What this daemon answers to a fresh one.
+  /// The floor that this daemon reports to a restarted one.
   pub(super) fn floor_for(&self, box_id: &BoxId) -> Version {
     let recorded = self.records.get(box_id).copied().unwrap_or_default();
     recorded.max(self.catalog.floor())
--- a/src/distribution/distributor/linking.rs
+++ b/src/distribution/distributor/linking.rs
@@ -1,9 +1,8 @@
 use super::*;
 
-/// Links: opening and closing them, finding somebody who serves this daemon, and linking relays up
-/// with each other.
+/// Opens and closes links, finds a daemon to subscribe to, and connects relays with each other.
 impl Distributor {
-  /// Pause before a failed link between relays is tried again.
+  /// Longest pause, in milliseconds, before a failed link between relays is retried.
   const MESH_RETRY_MS: u64 = 2_000;
 
   pub(super) fn tick_upstream(&mut self) {
@@ -25,7 +24,7 @@
     }
   }
 
-  /// Ends the present try or subscription, so that another box is tried.
+  /// Ends the current connection attempt or subscription, so that another box is tried.
   pub(super) fn drop_upstream(&mut self) {
     if let Some(link) = self.upstream.any_link() {
       self.close_link(link);
@@ -69,7 +68,7 @@
       return;
     }
     if self.announcing.remove(peer) {
-      // The box closes the link once it has read this.
+      // The receiver closes the link.
       self.send(link, Message::Relays(self.relays.clone()));
       return;
     }
@@ -162,7 +161,7 @@
     self.own.relay = Some(peer);
     self.announce();
     if is_relay {
-      // Those who came here for want of a relay can go to one now.
+      // Subscribers that found no relay before can now subscribe to one.
       self.redirect_subscribers();
     }
   }
--- a/src/distribution/distributor/mod.rs
+++ b/src/distribution/distributor/mod.rs
@@ -1,4 +1,4 @@
-//! The state machine that a daemon runs for distribution.
+//! The state machine by which a daemon receives configurations and passes them on.
 
 use super::*;
 
@@ -22,61 +22,63 @@
 
 use self::floor::Floor;
 
-/// Decides what a daemon does to hold the newest configuration and to pass it on.
+/// Keeps a daemon's configuration current and passes it on.
 ///
-/// Every daemon runs one. Some hold a relay slot of their data hall: these watch the store, link up
-/// with all other relays, and serve the rest of their data hall. All others subscribe to a relay.
-/// A newer configuration or newer news goes to every neighbour that lacks it, whatever its role.
+/// Every daemon runs one distributor. A daemon that holds a relay slot of its data hall watches the
+/// store, connects to all other relays and serves the other boxes of its data hall. All other
+/// daemons subscribe to a relay. Newer configurations and endpoints are sent to every neighbour
+/// that lacks them, whatever its role.
 #[derive(Clone, Debug)]
 pub struct Distributor {
   actions: Vec<Action>,
-  /// Boxes that are being told of a relay that they may not know.
+  /// Boxes to which a link is being opened to announce this relay.
   announcing: BTreeSet<BoxId>,
-  /// When the last beats went out.
+  /// When the last heartbeats were sent.
   beat_at: Time,
   catalog: Catalog,
   /// When the store last confirmed that the held version is the newest.
   confirmed_at: Option<Time>,
-  /// Boxes that nobody hears from, with the sequence last announced and when they count as lost.
+  /// Boxes that no relay hears from, with the incarnation and sequence last announced and the time
+  /// at which they are declared lost.
   departures: BTreeMap<BoxId, (Incarnation, u64, Time)>,
   election: Election,
   endpoints: EndpointTable,
   floor: Floor,
   identity: Identity,
   inquiries: Inquiries,
-  /// The last call to the store.
+  /// Number of the last call to the store.
   last_call: u64,
   links: BTreeMap<LinkId, Link>,
-  /// When relays that the store has not brought up to date are sent the newest version.
+  /// When the newest version is sent to relays that have not read it from the store.
   mesh_push_at: Time,
-  /// When to try next to link up with a relay, by box.
+  /// When to connect to a relay again, by box.
   mesh_next_at: BTreeMap<BoxId, Time>,
-  /// When the gathered news goes out.
+  /// When the queued endpoints are sent.
   news_due: Option<Time>,
   now: Moment,
   /// The daemon's own endpoint, as last announced.
   own: Endpoint,
-  /// When the newest version goes out to the subscribers.
+  /// When the newest version is sent to the subscribers.
   push_due: Option<Time>,
   /// The highest version that each subscriber's box is known to have held.
   records: BTreeMap<BoxId, Version>,
   relays: Relays,
   rng: ChaCha8Rng,
-  /// The store's newest version where it is older than the held one.
+  /// The store's newest version if it is older than the held one.
   store_behind: Option<Version>,
-  /// When the held version came into force.
+  /// When the held version was applied.
   switched_at: Time,
   upstream: Upstream,
   watcher: Watcher,
 }
 
 impl Distributor {
-  /// Links that a daemon serves at most, twice the share of a relay.
+  /// Largest number of subscribers: twice the number of boxes for which there is one relay.
   const DOWNSTREAM_MAX: usize = 2 * Relays::SHARE;
   /// Milliseconds between two ticks.
   pub const TICK_MS: u64 = 50;
 
-  /// A daemon that holds nothing yet.
+  /// Creates the state machine of a daemon that holds no configuration.
   pub fn new(now: Moment, seed: u64, identity: Identity) -> Self {
     let own = identity.endpoint.clone();
     let mut distributor = Self {
@@ -111,7 +113,7 @@
     distributor
   }
 
-  /// Takes in one event and returns what to do, in order.
+  /// Handles one event and returns the actions to perform, in order.
   pub fn handle(&mut self, now: Moment, event: Event) -> Vec<Action> {
     self.now = now;
     match event {
@@ -128,7 +130,7 @@
       Event::LinkFailed { box_id } => self.link_failed(&box_id),
       Event::LinkOpened { link, outbound, peer } => self.link_opened(link, outbound, &peer),
       Event::Received { link, message } => self.received(link, message),
-      // Nobody orders roll-outs of software where configurations are accepted here.
+      // Software rollouts are not ordered where the daemons accept the configurations.
       Event::RolloutObserved(_) => {}
       Event::RunsEnded(what) => self.runs_ended(what),
       Event::StoreAnswered { call, result, .. } => self.store_answered(call, &result),
@@ -166,7 +168,7 @@
       Message::Answer { id, reports } => self.inquiry_answered(link, id, reports),
       Message::Ask { hops, id, question } => self.neighbour_asked(link, hops, id, &question),
       Message::Beat(beat) => self.beat_received(link, &beat),
-      // Roll-outs of software are ordered on platforms only.
+      // Software rollouts are ordered on an outer platform only.
       Message::Evacuations(_) | Message::Evidence(_) | Message::Rollout(_) => {}
       Message::News(endpoints) => self.news_received(link, endpoints),
       Message::Redirect { floor, relays } => self.redirected(link, floor, relays),
@@ -211,7 +213,7 @@
     self.links.iter().filter(move |(_, link)| link.role == role).map(|(id, link)| (*id, link))
   }
 
-  /// Boxes of the own data hall, as far as known.
+  /// Known number of boxes in this box's data hall.
   fn data_hall_size(&self) -> usize {
     let own = &self.own.peer.data_hall;
     let present = self.endpoints.present().filter(|endpoint| endpoint.peer.data_hall == *own);
--- a/src/distribution/distributor/news.rs
+++ b/src/distribution/distributor/news.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// News about endpoints.
+/// Spreads endpoints through the fleet and declares silent boxes lost.
 impl Distributor {
-  /// Endpoints in one message.
+  /// Largest number of endpoints in one message.
   const NEWS_BATCH: usize = 64;
-  /// Differing beats in a row after which the whole table is sent.
+  /// Consecutive heartbeats with a different fingerprint after which the whole table is sent.
   const MISMATCHES_MAX: u32 = 3;
-  /// Shortest time between two whole tables on one link.
+  /// Shortest time between two whole tables on one link, in milliseconds.
   const SYNC_PAUSE_MS: u64 = 15_000;
 
   pub(super) fn change_state(&mut self, state: EndpointState) {
@@ -26,13 +26,13 @@
     }
   }
 
-  /// The fleet is told how requests ended at the backend server of this box.
+  /// Announces to the fleet how requests ended at this box's backend server.
   pub(super) fn runs_ended(&mut self, what: RunOutcome) {
     self.own.add_finding(RunFinding { id: self.rng.random(), outcome: what });
     self.announce();
   }
 
-  /// Announces the daemon's own endpoint anew.
+  /// Announces the daemon's own endpoint with a new sequence number.
   pub(super) fn announce(&mut self) {
     self.own.sequence += 1;
     self.endpoints.merge(self.now.time, self.own.clone());
@@ -40,7 +40,7 @@
     self.act(Action::EndpointsChanged);
   }
 
-  /// Marks the news about a box for all neighbours but the one it came from.
+  /// Queues a box's endpoint for all neighbours except the one that sent it.
   fn spread(&mut self, box_id: &BoxId, from: Option<LinkId>) {
     for (id, link) in &mut self.links {
       if link.is_settled() && Some(*id) != from {
@@ -69,7 +69,8 @@
     }
   }
 
-  /// Answers news about this box that is not its own, such as its loss, with a later announcement.
+  /// Overrides an announcement about this box that it did not make, such as its loss, by a newer
+  /// one.
   fn refute(&mut self, rumour: &Endpoint) {
     if !rumour.is_newer_than(&self.own) {
       return;
@@ -104,7 +105,7 @@
     }
   }
 
-  /// Sends the whole table where the neighbour's differs.
+  /// Sends the whole table if the neighbour's fingerprint differs.
   pub(super) fn sync_endpoints_unless(&mut self, link: LinkId, fingerprint: u32) {
     if fingerprint == self.endpoints.fingerprint() {
       return;
@@ -119,7 +120,7 @@
     self.send_news(link, &all);
   }
 
-  /// Counts how often a neighbour's table differed, and sends the whole once it stays so.
+  /// Counts consecutive fingerprint mismatches and sends the whole table after too many of them.
   pub(super) fn compare_endpoints(&mut self, link: LinkId, fingerprint: u32) {
     let differs = fingerprint != self.endpoints.fingerprint();
     let now = self.now.time;
@@ -133,7 +134,7 @@
     }
   }
 
-  /// A relay looks for boxes of its data hall that no relay hears from.
+  /// On a relay, records the boxes of its data hall that no relay hears from.
   pub(super) fn note_departures(&mut self) {
     if !self.is_relay() {
       self.departures.clear();
@@ -173,7 +174,7 @@
     !self.relays.has(relay)
   }
 
-  /// Declares boxes lost that nobody has heard from for long enough.
+  /// Declares boxes lost whose silence has lasted long enough.
   pub(super) fn declare_lost(&mut self) {
     let now = self.now.time;
     let over: Vec<BoxId> = self
--- a/src/distribution/distributor/pushing.rs
+++ b/src/distribution/distributor/pushing.rs
@@ -1,10 +1,11 @@
 use super::*;
 
-/// Beats, and updates from neighbour to neighbour.
+/// Exchanges heartbeats and configuration updates with neighbours.
 impl Distributor {
-  /// Milliseconds for which a relay leaves it to the store to bring another relay up to date.
+  /// Milliseconds that other relays get to read a new version from the store before it is sent to
+  /// them.
   const MESH_PUSH_DELAY_MS: u64 = 300;
-  /// Unsound updates on one link after which another source is tried.
+  /// Invalid updates on one link after which another daemon is subscribed to.
   const REFUSALS_MAX: u32 = 2;
 
   fn beat(&self) -> Beat {
@@ -65,7 +66,7 @@
     }
   }
 
-  /// The store was known `age_ms` ago to have `version` as its newest.
+  /// Records that `version` was the store's newest one `age_ms` milliseconds ago.
   pub(super) fn confirm(&mut self, version: Version, age_ms: u64) {
     if self.catalog.version() != Some(version) {
       return;
@@ -92,7 +93,7 @@
     }
   }
 
-  /// Takes in an update as it crossed a link.
+  /// Unpacks and handles an update from a neighbour.
   pub(super) fn packed_received(&mut self, link: LinkId, packed: &PackedUpdate) {
     match packed.unpack() {
       Ok(update) => self.update_received(link, update),
@@ -100,7 +101,7 @@
     }
   }
 
-  /// Takes in an update from a neighbour.
+  /// Applies an update from a neighbour, or defers it while the floor is unknown.
   pub(super) fn update_received(&mut self, link: LinkId, update: Update) {
     let fresh = self.catalog.version().is_none();
     if fresh && !self.is_floor_known() {
@@ -113,7 +114,7 @@
     let from = self.links.get(&link).map(|link| link.peer.clone());
     match self.catalog.take(update, from, self.now.unix_ms) {
       Ok(()) => {
-        // The sender holds what it sent, so it is not sent back.
+        // The sender holds this version: do not send it back.
         self.note_version(link, self.catalog.held());
         self.switched();
       }
@@ -122,7 +123,7 @@
     }
   }
 
-  /// An unsound update changes nothing. The sender is told, and left if it happens again.
+  /// Rejects an invalid update and reports it to the sender. Leaves the sender if that repeats.
   fn refuse(&mut self, link: LinkId, err: &Error) {
     self.log(format!("an update was refused: {err}"));
     let Some(known) = self.links.get_mut(&link) else {
@@ -136,7 +137,7 @@
     self.send(link, Message::Refused { reason: err.to_string() });
   }
 
-  /// A neighbour refused an update: send the whole, but not again and again.
+  /// Sends a snapshot to a neighbour that refused an update, at most once per resend interval.
   pub(super) fn update_refused(&mut self, link: LinkId, reason: String) {
     let resend_ms = self.resend_ms();
     let now = self.now.time;
@@ -153,7 +154,8 @@
     self.send(link, Message::Update(update));
   }
 
-  /// A newer version is in force here: tell those who sent it, and bring it to those who lack it.
+  /// Handles a newly applied version: sends heartbeats upstream and schedules updates to
+  /// neighbours.
   pub(super) fn switched(&mut self) {
     let Some(configuration) = self.catalog.configuration().cloned() else {
       return;
@@ -167,7 +169,7 @@
     }
   }
 
-  /// Sends the newest version to every neighbour that lacks it, where the time has come.
+  /// Sends the newest version to every neighbour that lacks it, once it is due.
   pub(super) fn push_updates(&mut self) {
     if self.push_due.is_some_and(|due| self.now.time < due) {
       return;
--- a/src/distribution/distributor/relaying.rs
+++ b/src/distribution/distributor/relaying.rs
@@ -1,15 +1,16 @@
 use super::*;
 
-/// Knowing the relays, and telling others of them.
+/// Maintains the list of relays and announces it to others.
 impl Distributor {
-  /// Takes over what a neighbour knows of the relays. A relay knows better, from the store.
+  /// Replaces the list of relays by a neighbour's. A relay ignores it, because it has the store's
+  /// list.
   pub(super) fn learn_relays(&mut self, relays: Relays) {
     if !self.is_relay() && !relays.0.is_empty() {
       self.relays = relays;
     }
   }
 
-  /// A fresh relay tells its data hall of itself, so that the others need not ask the store.
+  /// Announces a new relay to the boxes of its data hall, so that they need not read the store.
   pub(super) fn announce_relay(&mut self) {
     let own = self.own.peer.clone();
     let linked: BTreeSet<&BoxId> =
@@ -30,7 +31,7 @@
     }
   }
 
-  /// A box that has no relay hears of one.
+  /// Handles the announcement of a relay; ignored by a box that a relay serves.
   fn relay_announced(&mut self, link: LinkId, relays: Relays) {
     if !self.is_served_by_relay() {
       self.learn_relays(relays);
@@ -51,7 +52,7 @@
     self.tell_relays();
   }
 
-  /// Tells the subscribers which relays there are.
+  /// Sends the list of relays to the subscribers.
   pub(super) fn tell_relays(&mut self) {
     let links: Vec<LinkId> = self.settled_links(LinkRole::Downstream).map(|(id, _)| id).collect();
     for link in links {
--- a/src/distribution/distributor/serving.rs
+++ b/src/distribution/distributor/serving.rs
@@ -1,9 +1,10 @@
 use super::*;
 
-/// Serving the daemons that subscribe to this one.
+/// Serves the daemons that subscribe to this one.
 impl Distributor {
-  /// A neighbour asks to be served. A relay serves up to its limit; any other daemon serves only
-  /// one that found no relay, and only with a configuration to give.
+  /// Accepts or redirects a subscriber. A relay accepts subscribers up to its limit. Any other
+  /// daemon accepts only those that found no relay, and only if it is subscribed or holds a
+  /// configuration.
   pub(super) fn subscription_asked(&mut self, link: LinkId, subscribe: &Subscribe) {
     let Some(known) = self.links.get(&link) else {
       return;
@@ -43,7 +44,7 @@
     has_room && (self.is_relay() || (subscribe.desperate && is_source))
   }
 
-  /// Sends the subscribers elsewhere, once this daemon is no relay any more.
+  /// Redirects all subscribers to the relays that this daemon knows.
   pub(super) fn redirect_subscribers(&mut self) {
     let links: Vec<(LinkId, BoxId)> =
       self.settled_links(LinkRole::Downstream).map(|(id, link)| (id, link.peer.clone())).collect();
--- a/src/distribution/distributor/status.rs
+++ b/src/distribution/distributor/status.rs
@@ -1,19 +1,19 @@
 use super::*;
 
-/// What a daemon knows about its own part in distribution.
+/// The state of a daemon's own part in distribution.
 #[derive(Clone, Debug, Serialize)]
 pub struct Status {
-  /// Subscribers served.
+  /// Number of subscribers.
   pub downstream: usize,
-  /// Links to other relays.
+  /// Number of links to other relays.
   pub mesh: usize,
-  /// The relays known.
+  /// The known relays.
   pub relays: Relays,
-  /// The relay slot held.
+  /// The relay slot that this box holds.
   pub slot: Option<String>,
   /// Milliseconds since the store last confirmed the held version.
   pub store_age_ms: Option<u64>,
-  /// The store's newest version where it is older than the held one.
+  /// The store's newest version if it is older than the held one.
   pub store_behind: Option<Version>,
   /// The box that serves this one.
   pub upstream: Option<BoxId>,
@@ -22,12 +22,12 @@
 }
 
 impl Distributor {
-  /// The configuration held, with how it came.
+  /// The held configuration and its provenance.
   pub fn catalog(&self) -> &Catalog {
     &self.catalog
   }
 
-  /// The newest news about every box.
+  /// The newest known endpoint of every box.
   pub fn endpoints(&self) -> &EndpointTable {
     &self.endpoints
   }
@@ -37,7 +37,7 @@
     &self.own
   }
 
-  /// What this daemon knows about its own part, as of the last event.
+  /// The state of this daemon's part in distribution after the last event.
   pub fn status(&self) -> Status {
     let upstream = self.upstream.link().and_then(|link| self.links.get(&link));
     Status {
--- a/src/distribution/distributor/storing.rs
+++ b/src/distribution/distributor/storing.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Relay slots and the watch on the store.
+/// Acquires relay slots and watches the store.
 impl Distributor {
   pub(super) fn tick_election(&mut self) {
     let hall = self.hall();
@@ -13,8 +13,8 @@
     self.election_steps(step.into_iter().collect());
   }
 
-  /// Whether this daemon is a relay, or subscribed to one that says it is. The list of relays may be
-  /// old, so it alone does not tell that there still are any.
+  /// Whether this daemon is a relay, or subscribes to a daemon that reports to be one. The list of
+  /// relays may be outdated, so it does not prove that a relay still exists.
   pub(super) fn is_served_by_relay(&self) -> bool {
     let upstream = self.upstream.link().and_then(|link| self.links.get(&link));
     self.is_relay() || upstream.is_some_and(|link| link.is_relay)
@@ -90,8 +90,8 @@
     }
   }
 
-  /// The store has a newer version. A relay reads it, for its watch may have skipped the change; a
-  /// subscriber tells its relay.
+  /// Handles that the store has a newer version. A relay reads it, because its watch may have
+  /// skipped the change. A subscriber passes it on to its relay.
   pub(super) fn accepted(&mut self, version: Version, from: Option<LinkId>) {
     if self.catalog.version() >= Some(version) {
       return;
@@ -149,17 +149,18 @@
     }
   }
 
-  /// A store that knows only older versions than this box was restored, or lost its content.
+  /// Records whether the store is behind this box: it was restored from a backup or lost its
+  /// content.
   fn note_store_version(&mut self, newest: Version) {
     let behind = self.catalog.version().is_some_and(|held| newest < held).then_some(newest);
     if behind.is_some() && behind != self.store_behind {
-      self.log(format!("the store knows version {newest} as its newest, which is behind this box"));
+      self.log(format!("the store's newest version {newest} is behind this box"));
     }
     self.store_behind = behind;
   }
 
-  /// Goes on to the store's newest version, by the changes since the held one where the head still
-  /// has them, and by the snapshot otherwise.
+  /// Applies the store's newest version: by the changes since the held version if the head has all
+  /// of them, else by the snapshot.
   pub(super) fn take_head(&mut self) {
     let is_fresh = self.catalog.version().is_none();
     if !self.is_relay_that_listed() || (is_fresh && !self.is_floor_known()) {
@@ -182,17 +183,18 @@
     };
     let changes = head.tail.into_iter().filter(|change| change.version() > base).collect();
     if !self.take_from_store(Update::Delta { base, base_digest, changes }) {
-      // The held version may have other content than the store's: the whole ends that.
+      // The held version may differ from the store's version of that number. The snapshot repairs
+      // that.
       self.read_snapshot();
     }
   }
 
-  /// Whether this daemon is a relay that has read the store whole.
+  /// Whether this daemon is a relay that has listed the whole store.
   pub(super) fn is_relay_that_listed(&self) -> bool {
     self.is_relay() && self.watcher.is_listed()
   }
 
-  /// A store without any version stands for the empty configuration.
+  /// Applies the empty configuration, which a store without any version stands for.
   fn take_genesis(&mut self) {
     if self.catalog.version().is_some() {
       return;
@@ -228,7 +230,7 @@
     }
   }
 
-  /// Puts the store's version in force. Returns whether it was sound.
+  /// Applies an update from the store. Returns whether it was valid.
   fn take_from_store(&mut self, update: Update) -> bool {
     match self.catalog.take(update, None, self.now.unix_ms) {
       Ok(()) => {
@@ -236,14 +238,14 @@
         true
       }
       Err(err) => {
-        self.log(format!("the store's version was refused: {err}"));
+        self.log(format!("an update from the store was refused: {err}"));
         false
       }
     }
   }
 }
 
-/// Whether the head has all changes since `base`.
+/// Whether the head contains all changes after `base`.
 fn reaches(head: &Head, base: Version) -> bool {
   match head.tail.first() {
     Some(first) => base.next() >= first.version(),
--- a/tests/head.rs
+++ b/tests/head.rs
@@ -1,4 +1,5 @@
-//! The store's head: what it keeps when a snapshot is due, and that a watcher needs no snapshot then.
+//! The store's head retains some changes when a snapshot is stored, so that a watcher that is one
+//! version behind does not need to read the snapshot.
 
 use ferryyoke::{
   configuration::{AcceptedChange, Change, Configuration, Head, Object, Operation, Policy},
--- a/tests/large_configuration.rs
+++ b/tests/large_configuration.rs
@@ -1,13 +1,11 @@
-//! A configuration that the platform's store accepted was never in force.
+//! Every configuration that the platform's store accepts comes into force, however large it is.
 //!
-//! Seen: 2.5 s and more after the store had accepted a version with 1,400 routes more, requests by its new
-//! routes were answered 404 and others went where the version before sent them, at every box until the end
-//! of the day. Boxes that started then held nothing, and read over a megabyte from the store every second.
-//!
-//! How it came about: each change had added as many routes, and the third one passed a megabyte in the
-//! product's own form, which is longer than the operators'. Cause: a daemon that was told of an accepted
-//! version judged it by the limit for whoever writes one, in its own form. Proof: the one line `the
-//! configuration would take 1138423 bytes and the store holds 1000000` of each watcher.
+//! Guards against this failure: after changes of 1,400 routes each, the third version took over a
+//! megabyte in the daemons' own encoding, which is longer than the operators'. Every daemon checked
+//! the accepted version, in its own encoding, against the size limit for writers and refused it:
+//! `the configuration would take 1138423 bytes and the store holds 1000000`. All boxes stayed at
+//! the previous version, so that requests by the new routes got 404. Boxes that started then held
+//! no configuration and read over a megabyte from the store every second.
 
 mod support;
 
@@ -25,7 +23,7 @@
 
 const BOXES: usize = 9;
 
-const NOBODY: [usize; 0] = [];
+const NO_BOXES: [usize; 0] = [];
 
 fn route(index: usize) -> Value {
   json!({
@@ -34,7 +32,7 @@
   })
 }
 
-/// What the operators write, with routes of these numbers.
+/// The text of a configuration, as operators write it, with routes of these numbers.
 fn written(routes: Range<usize>, version: u64) -> String {
   let routes: Vec<Value> = routes.map(route).collect();
   let services = json!([{ "HealthPath": "/health", "MaxConnections": 110, "Name": "archive" }]);
@@ -48,17 +46,17 @@
 }
 
 #[test]
-fn whatever_the_store_holds_is_taken() {
+fn the_largest_configuration_in_the_store_is_applied() {
   let text = written(0..8_000, 7);
   assert!((VALUE_BYTES_MAX * 9 / 10..VALUE_BYTES_MAX).contains(&text.len()), "{}", text.len());
   let configuration = OperatorSource.read(&text).expect("a configuration");
   let mut catalog = Catalog::default();
-  catalog.take_whole(configuration, 0).expect("what the store accepted is in force");
+  catalog.take_whole(configuration, 0).expect("a version that the store accepted is applied");
   assert_eq!(catalog.configuration().map(|held| held.routes.len()), Some(8_000));
 }
 
 #[test]
-fn who_writes_a_version_makes_it_fit_the_store() {
+fn a_change_that_exceeds_the_store_limit_is_refused() {
   let whole = OperatorSource.read(&written(0..8_000, 7)).expect("a configuration");
   let drain = Object::Drain(
     "box-1".parse().expect("a name"),
@@ -79,7 +77,7 @@
   assert!(matches!(refused, Error::TooLarge { .. }), "{refused}");
 }
 
-/// Objects that an update carries.
+/// The number of objects in an update.
 fn objects(update: &Update) -> usize {
   match update {
     Update::Patches(patches) => patches.iter().map(|patch| patch.operations.len()).sum(),
@@ -88,9 +86,9 @@
   }
 }
 
-/// A whole version passes a link at a time; a row of large patches would not.
+/// A series of large patches may be larger than the whole configuration, and is not sent then.
 #[test]
-fn what_a_neighbour_lacks_is_never_more_than_the_whole() {
+fn an_update_is_never_larger_than_the_whole_configuration() {
   let mut catalog = Catalog::default();
   let version = |number: u64| {
     // Each version replaces the routes of the one before.
@@ -108,12 +106,12 @@
   let mut behind = Catalog::default();
   behind.take_whole(version(1), 0).expect("taken");
   let update = catalog.update_for(held).expect("an update");
-  behind.take(update, None, 0).expect("the update fits what is held");
+  behind.take(update, None, 0).expect("the update applies to the held version");
   assert_eq!(behind.held(), catalog.held());
 }
 
-/// A neighbour on a narrow link gets a thousand routes more in the time of a beat, and the largest
-/// configuration that the store holds in a third of a second.
+/// On a link of 10 Mbit/s, the largest configuration that the store holds takes less than a third of a
+/// second, and a thousand additional routes less than a heartbeat interval.
 #[test]
 fn a_large_configuration_is_small_on_a_link() {
   const BYTES_PER_MS: usize = 10 * 125;
@@ -128,7 +126,7 @@
 }
 
 #[test]
-fn what_cannot_be_unpacked_is_refused() {
+fn a_corrupt_update_is_refused() {
   let mut catalog = Catalog::default();
   let whole = OperatorSource.read(&written(0..100, 1)).expect("a configuration");
   catalog.take_whole(whole, 0).expect("taken");
@@ -137,10 +135,10 @@
   ciborium::into_writer(&packed, &mut bytes).expect("written");
   let mut refused = 0;
   for at in (0..bytes.len()).step_by(7) {
-    let mut bent = bytes.clone();
-    bent[at] ^= 0x55;
-    let bent: Option<PackedUpdate> = ciborium::from_reader(&bent[..]).ok();
-    let Some(Ok(update)) = bent.as_ref().map(PackedUpdate::unpack) else {
+    let mut corrupt = bytes.clone();
+    corrupt[at] ^= 0x55;
+    let decoded: Option<PackedUpdate> = ciborium::from_reader(&corrupt[..]).ok();
+    let Some(Ok(update)) = decoded.as_ref().map(PackedUpdate::unpack) else {
       refused += 1;
       continue;
     };
@@ -151,12 +149,12 @@
     }
     assert_eq!(other.held(), catalog.held(), "byte {at} made another configuration");
   }
-  assert!(refused > 0, "no bent byte was noticed");
+  assert!(refused > 0, "no corrupt byte was detected");
 }
 
-/// A row of patches of which a later one does not hold leaves all as it was.
+/// If a later patch of a series is invalid, none of them is applied.
 #[test]
-fn a_row_of_patches_is_taken_whole_or_not_at_all() {
+fn a_series_of_patches_is_applied_completely_or_not_at_all() {
   let read = |routes: Range<usize>, number: u64| {
     OperatorSource.read(&written(routes, number)).expect("a configuration")
   };
@@ -171,11 +169,11 @@
     panic!("two small patches");
   };
   patches.last_mut().expect("two patches").operations.clear();
-  behind.take(Update::Patches(patches), None, 0).expect_err("the last patch does not hold");
-  assert_eq!(behind.held(), held, "a version is held that nobody was told to put in force");
+  behind.take(Update::Patches(patches), None, 0).expect_err("the last patch is invalid");
+  assert_eq!(behind.held(), held, "a version is held that no caller was told to apply");
 }
 
-/// Where one version cannot be read, the one before it still reaches boxes that start.
+/// If the newest version cannot be parsed, boxes that start get the previous one.
 #[test]
 fn a_box_that_starts_gets_the_version_in_force_where_the_newest_one_is_refused() {
   let mut fleet = Followers::new();
@@ -185,7 +183,7 @@
     fleet.start(index, 1_000);
   }
   fleet.run(4_000);
-  assert_eq!(fleet.lacking(BOXES, |fleet, index| fleet.version(index) == Some(1)), NOBODY);
+  assert_eq!(fleet.lacking(BOXES, |fleet, index| fleet.version(index) == Some(1)), NO_BOXES);
   fleet.write_text("not a configuration".into());
   fleet.run(2_000);
   fleet.stop(4);
@@ -195,5 +193,5 @@
   assert_eq!(fleet.version(4), Some(1), "{:#?}", fleet.logged);
   let reads = fleet.refused.len();
   fleet.run(5_000);
-  assert!(fleet.refused.len() - reads <= 1, "the refused version is read again and again");
+  assert!(fleet.refused.len() - reads <= 1, "the refused version is read repeatedly");
 }
--- a/tests/narrow_links.rs
+++ b/tests/narrow_links.rs
@@ -1,9 +1,10 @@
 //! A large configuration in a fleet whose links are mostly narrow.
 //!
-//! Protects the time in which each box holds a version: a read of the whole fills a link of 10 Mbit/s for a
-//! second, and whatever else comes to that box waits behind it. So few boxes may read, what goes from box to
-//! box must be small, and nobody may take a neighbour for dead whose word waits behind a large one. Times
-//! are virtual; links are first come first served, see `support::lines`.
+//! Checks the time until every box holds a version. Reading the whole configuration fills a link of
+//! 10 Mbit/s for a second, and all other messages to that box queue behind it. So only few boxes
+//! may read it, updates between boxes must be small, and a neighbour whose messages are queued
+//! behind a large one must not be taken for failed. Time is virtual; each link is a first-in,
+//! first-out queue, see `support::lines`.
 
 mod support;
 
@@ -16,26 +17,26 @@
   support::{followers::Followers, operator_routes, read_once::ReadOnce},
 };
 
-/// Fourteen in each of three data halls.
+/// Boxes, fourteen in each of three data halls.
 const BOXES: usize = 42;
-/// Boxes with wide links, two in each data hall: they watch the store.
+/// Boxes with wide links, two in each data hall. These watch the store.
 const WIDE: usize = 6;
-/// Routes before the change, and after it.
+/// Number of routes before and after the change.
 const FEW: usize = 3_200;
 const MANY: usize = 4_600;
-/// Milliseconds of one step of a fleet, by which times are exact.
+/// Milliseconds of one simulation step: the resolution of the times.
 const STEP_MS: u64 = 10;
-/// Milliseconds until the last box is given up.
+/// Milliseconds after which a test stops waiting for the remaining boxes.
 const GIVE_UP_MS: u64 = 4_000;
-/// Milliseconds within which all hold a version that watchers read and pass on packed, on a fleet at rest.
+/// Milliseconds within which all boxes of an idle fleet hold a version that is passed on packed.
 const PACKED_MS: u64 = 330;
-/// Milliseconds within which all hold a version in a fleet without faults.
+/// Milliseconds within which all boxes hold a version without faults.
 const PROMPT_MS: u64 = 1_000;
-/// The same where links are all narrow, or something fails.
+/// Milliseconds within which all boxes hold a version if all links are narrow or something fails.
 const LATE_MS: u64 = 2_500;
 
-/// A fleet at rest that holds version 1. The first so many boxes, in each data hall as many, have links of
-/// 200 Mbit/s, and the others of 10.
+/// An idle fleet that holds version 1. The first `wide` boxes, which are spread evenly over the
+/// data halls, have links of 200 Mbit/s, and all others of 10 Mbit/s.
 fn fleet(wide: usize) -> Followers {
   let mut fleet = Followers::new();
   fleet.source = Arc::new(ReadOnce::new(OperatorSource));
@@ -53,7 +54,8 @@
   fleet
 }
 
-/// Lets time pass until all of some boxes hold a version; returns when each one did.
+/// Runs the fleet until all of `boxes` hold `version`, or for [`GIVE_UP_MS`]. Returns the time at
+/// which each box first held it.
 fn arrivals(fleet: &mut Followers, boxes: &BTreeSet<usize>, version: u64) -> BTreeMap<usize, u64> {
   let (mut held_at, until) = (BTreeMap::new(), fleet.now + GIVE_UP_MS);
   loop {
@@ -69,7 +71,8 @@
   }
 }
 
-/// Asserts that all of some boxes hold a version within a time since then, and names the late ones.
+/// Asserts that all of `boxes` hold `version` within `within_ms` after `since_ms`. Lists the late
+/// ones.
 fn assert_in_time(
   fleet: &mut Followers,
   boxes: &BTreeSet<usize>,
@@ -95,7 +98,7 @@
   (0..BOXES).collect()
 }
 
-/// Unpacked updates would take half a second.
+/// Without compression, the updates take half a second.
 #[test]
 fn a_large_change_is_in_force_within_a_third_of_a_second() {
   let mut fleet = fleet(WIDE);
@@ -104,8 +107,8 @@
   assert_in_time(&mut fleet, &all(), 2, written_at, PACKED_MS);
 }
 
-/// Boxes that start together take themselves for watchers at first. What they asked the store then must not
-/// bring each of them the whole later.
+/// Boxes that start together all act as watchers at first. The watches that they began then must
+/// not bring each of them the whole configuration later.
 #[test]
 fn a_large_change_soon_after_the_start_is_read_by_the_watchers_only() {
   let mut fleet = fleet(WIDE);
@@ -144,7 +147,7 @@
   assert_eq!(fleet.version(WATCHER), Some(2));
   fleet.run(STEP_MS);
   let lacking = fleet.lacking(BOXES, |fleet, index| fleet.version(index) == Some(2));
-  assert!(!lacking.is_empty(), "all was sent before the watcher died");
+  assert!(!lacking.is_empty(), "the watcher sent everything before it died");
   fleet.stop(WATCHER);
   assert_in_time(&mut fleet, &others, 2, written_at, LATE_MS);
 }
@@ -165,7 +168,7 @@
   assert_in_time(&mut fleet, &new, 2, started_at, LATE_MS);
 }
 
-/// Among the boxes that are turned away is a watcher of each data hall.
+/// The rejected boxes include a watcher of each data hall.
 #[test]
 fn a_large_change_is_in_force_in_time_where_the_store_turns_a_third_away() {
   let mut fleet = fleet(WIDE);
--- a/tests/support/followers.rs
+++ b/tests/support/followers.rs
@@ -1,4 +1,4 @@
-//! A fleet of followers in virtual time, with a store that serves some boxes and not others.
+//! Simulates a fleet of followers in virtual time, with a store that can reject some of the boxes.
 
 use super::{
   lines::{self, Direction, Lines},
@@ -24,16 +24,16 @@
   },
 };
 
-/// Milliseconds of one step of the world.
+/// Milliseconds of one simulation step.
 const STEP_MS: u64 = 10;
-/// Milliseconds beyond its own wait after which a box gives up a watch without an answer.
+/// Milliseconds beyond a watch's own wait after which its call fails without an answer.
 const PATIENCE_MS: u64 = 1_000;
-/// Milliseconds on the way until a call, or a message, arrives, beside its time on narrow links.
+/// Latency of an answer or message in milliseconds, in addition to its transmission time.
 const DELAY_MS: u64 = 10;
 
-/// What happens to a box, or what it does, at a time.
+/// A scheduled event of a box.
 enum Coming {
-  /// A call of the box's leaves its link.
+  /// A call to the store has left the box's link.
   Call {
     call: u64,
     request: StoreRequest,
@@ -44,8 +44,8 @@
     outbound: bool,
     peer: BoxId,
   },
-  /// So many bytes reach the box's link, and then what they tell happens. Until a time they are still
-  /// at their sender.
+  /// A transmission reaches the box's link. After its bytes have passed the link, the event in it
+  /// follows. Until `left_at_us`, the transmission is still queued at its sender.
   Parcel {
     bytes: usize,
     coming: Box<Coming>,
@@ -54,67 +54,67 @@
   },
 }
 
-/// The fleet.
+/// A simulated fleet of followers.
 pub struct Followers {
-  /// Versions that boxes knew of before they held them.
+  /// Versions that boxes reported as newer than the one they held.
   pub behind: Vec<(BoxId, Version)>,
   boxes: BTreeMap<BoxId, Follower>,
-  /// By microsecond, and in order of sending.
+  /// By microsecond, then in order of scheduling.
   coming: BTreeMap<(u64, u64), (BoxId, Coming)>,
-  /// The content that the store comes back with when it goes back.
+  /// The backup from which the store is restored.
   copy: Keyspace,
-  /// How often the store went back.
+  /// How often the store was restored.
   era: Era,
-  /// The data halls that each box holds for evacuated.
+  /// The data halls that each box knows to be evacuated.
   evacuated: BTreeMap<BoxId, BTreeSet<DataHall>>,
-  /// Boxes whose process stands still.
+  /// Boxes whose process is paused.
   pub frozen: BTreeSet<BoxId>,
   keyspace: Keyspace,
   last: u64,
-  /// What the boxes say that their links carry, in Mbit/s, where nothing bounds these.
+  /// The link rate that boxes announce, in Mbit/s, if their links are not limited.
   pub link_mbps: u32,
-  /// Messages on links that told news about boxes.
+  /// Number of messages with endpoints on links.
   pub news_messages: usize,
-  /// Linearizable reads of lists.
+  /// Number of linearizable list reads.
   pub newest_reads: usize,
-  /// What the store was when reads that may be old are answered from it; nothing while they are new.
+  /// The earlier state of the store that stale reads get; `None` while they get the current state.
   old: Option<Keyspace>,
-  /// What the boxes' links carry.
+  /// The rates of the boxes' links.
   pub lines: Lines,
-  /// The other end of each link: the box, and its name there.
+  /// The other end of each link: the box and the link's id there.
   links: BTreeMap<(BoxId, LinkId), (BoxId, LinkId)>,
-  /// What the boxes logged.
+  /// The boxes' log lines.
   pub logged: Vec<String>,
   pub now: u64,
-  /// Objects that updates on links carried.
+  /// Number of objects in patches on links.
   pub pushed_objects: usize,
-  /// Configurations that boxes refused, with the reason.
+  /// Refused configurations: the box and the reason.
   pub refused: Vec<(BoxId, String)>,
-  /// How boxes that start read what the operators write.
+  /// The source with which boxes that start parse the operators' entries.
   pub source: Arc<dyn Source>,
-  /// Calls to the store that were carried out or refused, in tenths: a renewal and a stale read count
-  /// one tenth.
+  /// Calls that reached the store, in tenths: a lease renewal or a stale read counts as one tenth
+  /// of a call.
   pub store_tenths: u64,
-  /// Entries that boxes could not read.
+  /// Entries that boxes could not parse.
   pub unreadable: Vec<(BoxId, UnreadableEntry)>,
-  /// Which versions get which requests, as each box's proxies know it.
+  /// Each box's routing of traffic to software versions.
   pub traffic: BTreeMap<BoxId, TrafficTable>,
-  /// How often each box's proxies were told news about boxes.
+  /// How often each box's proxies received changed endpoints.
   pub times_told: BTreeMap<BoxId, usize>,
-  /// The last update that was unpacked to count its objects.
+  /// The last unpacked update with its number of objects.
   unpacked: Option<(PackedUpdate, usize)>,
-  /// Ends of links from which nothing arrives any more, though both stay open.
+  /// Ends of open links whose messages are lost.
   silent_ends: BTreeSet<(BoxId, LinkId)>,
-  /// Watches that the store takes for answered, or never heard of. Their calls end without an answer.
+  /// Watches that the store never answers. Their calls time out.
   silent_watches: BTreeSet<(BoxId, u64)>,
-  /// Boxes that the store does not serve.
+  /// Boxes that the store rejects.
   pub unserved: BTreeSet<BoxId>,
-  /// Whole configurations that watches brought.
+  /// Number of whole configurations received by watches.
   pub watched_configurations: usize,
-  /// Watches that reached the store.
+  /// Number of watches that reached the store.
   pub watches_begun: usize,
   watches: Vec<(BoxId, u64, StoreRequest, u64)>,
-  /// Most changes that the answer to a watch may hold.
+  /// Largest number of changes in the answer to a watch.
   pub watch_events_max: usize,
 }
 
@@ -156,7 +156,7 @@
     }
   }
 
-  /// A fleet that has found itself and holds version 1.
+  /// An idle fleet in which every box holds version 1.
   pub fn at_rest(boxes: usize) -> Self {
     let mut fleet = Self::new();
     fleet.write_version(1);
@@ -166,7 +166,7 @@
     fleet
   }
 
-  /// Boxes that run, by index, and do not hold a version.
+  /// Indexes of the running boxes that do not hold `version`.
   pub fn late(&self, boxes: usize, version: u64) -> Vec<usize> {
     self.lacking(boxes, |fleet, index| fleet.version(index) == Some(version))
   }
@@ -179,12 +179,12 @@
     Moment { time: Time(self.now), unix_ms: self.now }
   }
 
-  /// Starts a box, or starts it anew with nothing in memory. `clock_ms` is what its clock shows.
+  /// Starts or restarts a box without any state. `clock_ms` is the time of its clock.
   pub fn start(&mut self, index: usize, clock_ms: u64) {
     self.start_beside(index, clock_ms, EndpointState::Live);
   }
 
-  /// Starts a box whose backend server is in a state.
+  /// Starts or restarts a box whose backend server is in the given state.
   pub fn start_beside(&mut self, index: usize, clock_ms: u64, state: EndpointState) {
     let box_id = Self::box_id(index);
     self.stop(index);
@@ -219,7 +219,7 @@
     self.handle(&box_id, Event::EndpointState(state));
   }
 
-  /// Ends a box without a word. What has not left its link is lost.
+  /// Crashes a box. Messages that have not left its link are lost.
   pub fn stop(&mut self, index: usize) {
     let box_id = Self::box_id(index);
     self.boxes.remove(&box_id);
@@ -241,7 +241,7 @@
     }
   }
 
-  /// Closes a link from one end; nobody is the sender where the box there ended.
+  /// Closes a link from one end. `sender` is `None` if the box at that end has crashed.
   fn close(&mut self, end: &(BoxId, LinkId), sender: Option<&BoxId>) {
     if let Some((peer, link)) = self.links.remove(end) {
       if self.silent_ends.remove(end) {
@@ -252,7 +252,8 @@
     }
   }
 
-  /// Brings something to a box over its own link, and that of the sender where it is a box.
+  /// Sends an event to a box over the sender's link, if the sender is a box, and the box's own
+  /// link.
   fn convey(&mut self, sender: Option<&BoxId>, to: &BoxId, bytes: usize, coming: Coming) {
     let now_us = self.now * 1_000;
     let left_at_us =
@@ -267,40 +268,40 @@
     self.coming.insert((at_us, self.last), (box_id.clone(), coming));
   }
 
-  /// The operators write a version.
+  /// Writes a configuration as the operators.
   pub fn write_version(&mut self, version: u64) {
     self.write_services(version, 0);
   }
 
-  /// The operators write a version with so many services.
+  /// Writes a configuration with `count` services as the operators.
   pub fn write_services(&mut self, version: u64, count: usize) {
     self.write_text(plain_source::written(version, count));
   }
 
-  /// The operators write some text where the configuration belongs.
+  /// Writes text under the key of the configuration as the operators.
   pub fn write_text(&mut self, value: String) {
     let request = StoreRequest::Put { key: Key::of(&["op", "config"]), lease: None, value };
     self.keyspace.call(Time(self.now), &request).expect("written");
   }
 
-  /// Another writer puts an item in that may be no text.
+  /// Writes an entry, which need not be text, as a foreign writer.
   pub fn write_foreign(&mut self, key: &str, value: Value) {
     self.keyspace.write_foreign(&Key::of(&[key]), value);
   }
 
-  /// Writes an item of the operators, or of the fleet.
+  /// Writes an entry of the operators or of the fleet.
   pub fn write_item(&mut self, key: &[&str], value: String) {
     let request = StoreRequest::Put { key: Key::of(key), lease: None, value };
     self.keyspace.call(Time(self.now), &request).expect("written");
   }
 
-  /// Takes an item out of the store.
+  /// Deletes an entry from the store.
   pub fn remove_item(&mut self, key: &[&str]) {
     let request = StoreRequest::Delete { key: Key::of(key) };
     self.keyspace.call(Time(self.now), &request).expect("removed");
   }
 
-  /// The text of an item in the store.
+  /// The text of an entry in the store.
   pub fn item(&mut self, key: &[&str]) -> Option<String> {
     match self.keyspace.call(Time(self.now), &StoreRequest::Read { key: Key::of(key) }) {
       Ok(Reply::Entry { entry, .. }) => {
@@ -315,17 +316,17 @@
     self.boxes.contains_key(&Self::box_id(index))
   }
 
-  /// What a box knows of the fleet.
+  /// The endpoints that a box knows.
   pub fn endpoints(&self, index: usize) -> &EndpointTable {
     self.boxes[&Self::box_id(index)].endpoints()
   }
 
-  /// Something happens to a box.
+  /// Delivers an event to a box.
   pub fn tell(&mut self, index: usize, event: Event) {
     self.handle(&Self::box_id(index), event);
   }
 
-  /// What the store holds for a box.
+  /// The value of a box's entry in the store.
   pub fn entry_of(&mut self, index: usize) -> Option<Value> {
     let key = Key::of(&["mesh", "boxes", Self::box_id(index).as_str()]);
     match self.keyspace.call(Time(self.now), &StoreRequest::Read { key }) {
@@ -334,13 +335,13 @@
     }
   }
 
-  /// The store keeps a copy of all that it holds.
+  /// Makes a backup of the store.
   pub fn keep_copy(&mut self) {
     self.copy = self.keyspace.clone();
   }
 
-  /// The store comes back from the copy: what it acknowledged since is gone, and revisions and numbers of leases are
-  /// given out again. Watches that wait are cut.
+  /// Restores the store from the backup: later writes are lost, and their revisions and lease ids
+  /// are reused. Pending watches fail.
   pub fn go_back(&mut self) {
     self.keyspace = self.copy.clone();
     self.era = self.era.next();
@@ -349,12 +350,12 @@
     }
   }
 
-  /// All leases end at once.
+  /// Expires all leases at once.
   pub fn lapse_leases(&mut self) {
     self.keyspace.lapse_leases();
   }
 
-  /// Lets time pass.
+  /// Runs the simulation for some time.
   pub fn run(&mut self, duration_ms: u64) {
     let until = self.now + duration_ms;
     while self.now < until {
@@ -372,7 +373,7 @@
     }
   }
 
-  /// Lets all happen that is due. What comes to a box that stands still waits in its order.
+  /// Handles all due events. Events of a paused process stay queued in order.
   fn let_come(&mut self) {
     let mut waiting = Vec::new();
     while let Some(first) = self.coming.first_entry().filter(|one| one.key().0 <= self.now * 1_000)
@@ -473,7 +474,8 @@
     }
   }
 
-  /// Objects that an update changes. Most are sent to many boxes in a row, and unpacking takes long.
+  /// Number of objects that an update changes. The last one is cached: unpacking is slow, and most
+  /// updates are sent to many boxes in a row.
   fn objects_of(&mut self, packed: &PackedUpdate) -> usize {
     if let Some((_, objects)) = self.unpacked.as_ref().filter(|(known, _)| known == packed) {
       return *objects;
@@ -502,7 +504,7 @@
     self.store_tenths += if is_cheap { 1 } else { 10 };
     self.newest_reads += usize::from(matches!(request, StoreRequest::List { .. }));
     if self.unserved.contains(box_id) {
-      // A watch is cut, whether it was under way or begins, so that tests can tell it from other calls.
+      // Both pending and new watches are cut, so that tests can tell them from other calls.
       let turned_away = match &request {
         StoreRequest::Watch { .. } => store::Error::Unknown { reason: "cut".into() },
         _ => Refusal::TooMany { retry_after_ms: 100 }.into(),
@@ -524,7 +526,8 @@
     self.answer(box_id, call, result.map_err(store::Error::from));
   }
 
-  /// A call by the store's own counts; nothing for a watch from an earlier era, which clients do not send.
+  /// Translates a call to the store's own revisions; `None` for a watch from an earlier era, which
+  /// clients do not send and the store refuses as compacted.
   fn in_this_era(&self, mut request: StoreRequest) -> Option<StoreRequest> {
     if let StoreRequest::Watch { after, .. } = &mut request {
       if after.era < self.era {
@@ -535,7 +538,7 @@
     Some(request)
   }
 
-  /// Answers a read that may be old as the store was, with the revision at which it is now.
+  /// Answers a stale read with the earlier state of the store, but with its current revision.
   fn read_old(&mut self, request: &StoreRequest) -> Option<Result<Reply, Refusal>> {
     let old = self.old.as_mut().filter(|_| matches!(request, StoreRequest::ListStale { .. }))?;
     let (result, revision) = (old.call(Time(self.now), request), self.keyspace.revision());
@@ -545,17 +548,17 @@
     }))
   }
 
-  /// From now on, reads that may be old show the store as it is at present.
+  /// From now on, stale reads get the present state of the store.
   pub fn begin_old_reads(&mut self) {
     self.old = Some(self.keyspace.clone());
   }
 
-  /// Reads that may be old show the store as it is again.
+  /// From now on, stale reads get the current state of the store again.
   pub fn end_old_reads(&mut self) {
     self.old = None;
   }
 
-  /// The store forgets all changes up to now.
+  /// Compacts the store's history up to now.
   pub fn forget_history(&mut self) {
     self.keyspace.forget_history();
   }
@@ -567,14 +570,14 @@
     self.convey(None, box_id, bytes, Coming::Event(Box::new(answered)));
   }
 
-  /// Lets the connections of all watches that wait go silent; new ones are well.
+  /// Silences the connections of the boxes' pending watches. New watches work.
   pub fn silence_watches(&mut self, boxes: impl Iterator<Item = usize>) {
     let boxes: BTreeSet<BoxId> = boxes.map(Self::box_id).collect();
     let of_these = self.watches.iter().filter(|(box_id, ..)| boxes.contains(box_id));
     self.silent_watches.extend(of_these.map(|(box_id, call, ..)| (box_id.clone(), *call)));
   }
 
-  /// Lets all open links go silent from one box to the other; new ones are well.
+  /// Silences all open links in the direction from one box to the other. New links work.
   pub fn silence_links(&mut self, from: usize, to: usize) {
     let (from, to) = (Self::box_id(from), Self::box_id(to));
     let ends = self.links.iter().filter(|((near, _), (far, _))| *near == from && *far == to);
@@ -614,29 +617,29 @@
     }
   }
 
-  /// The version that a box holds.
+  /// The version that the box holds.
   pub fn version(&self, index: usize) -> Option<u64> {
     self.boxes[&Self::box_id(index)].catalog().version().map(|version| version.0)
   }
 
-  /// Whether `from` holds `to` for a box that takes work.
+  /// Whether `from` knows `to` as a live endpoint.
   pub fn sees_live(&self, from: usize, to: usize) -> bool {
     let endpoints = self.boxes[&Self::box_id(from)].endpoints();
     endpoints.get(&Self::box_id(to)).is_some_and(|one| one.state == EndpointState::Live)
   }
 
-  /// The data halls that a box holds for evacuated.
+  /// The data halls that the box knows to be evacuated.
   pub fn evacuated(&self, index: usize) -> BTreeSet<DataHall> {
     self.evacuated.get(&Self::box_id(index)).cloned().unwrap_or_default()
   }
 
-  /// Boxes that run, by index, for which `holds` does not.
+  /// Indexes of the running boxes for which `holds` is false.
   pub fn lacking(&self, count: usize, holds: impl Fn(&Self, usize) -> bool) -> Vec<usize> {
     let runs = |index: &usize| self.boxes.contains_key(&Self::box_id(*index));
     (0..count).filter(runs).filter(|index| !holds(self, *index)).collect()
   }
 
-  /// Changes what a box says of its backend server.
+  /// Changes the reported state of a box's backend server.
   pub fn change_state(&mut self, index: usize, state: EndpointState) {
     self.handle(&Self::box_id(index), Event::EndpointState(state));
   }
--- a/tests/support/oracle.rs
+++ b/tests/support/oracle.rs
@@ -1,4 +1,4 @@
-//! What must be true of a fleet, checked after every step against a simple model.
+//! The invariants of a fleet, checked after every step against a simple model.
 
 use {
   ferryyoke::{
@@ -8,18 +8,18 @@
   std::collections::BTreeMap,
 };
 
-/// The model: each accepted version as a plain map of objects.
+/// The model: every accepted version as a plain map of objects.
 #[derive(Default)]
 pub struct Oracle {
-  /// Every change stated, by id.
+  /// Every change that an operator submitted, by id.
   stated: BTreeMap<ChangeId, Change>,
   /// Every accepted version with its change and content.
   versions: BTreeMap<Version, (Option<ChangeId>, BTreeMap<ObjectName, Object>)>,
-  /// The highest version that each box ever held, through all of its lives.
+  /// The highest version that each box ever held, across restarts.
   held: BTreeMap<usize, Version>,
-  /// Changes that were acknowledged, with their version.
+  /// Acknowledged changes with their version.
   acknowledged: BTreeMap<ChangeId, Version>,
-  /// Changes that were refused for good.
+  /// Changes that were refused.
   refused: Vec<ChangeId>,
 }
 
@@ -35,24 +35,24 @@
     *self.versions.keys().next_back().expect("there is version 0")
   }
 
-  /// An operator states a change.
+  /// Records that an operator submits a change.
   pub fn stated(&mut self, change: &Change) {
     self.stated.insert(change.id.clone(), change.clone());
   }
 
-  /// The store's head was written.
+  /// Checks and records that the store's head was written.
   pub fn head_written(&mut self, head: &Head) {
     let summary = head.history.last().expect("a head has a last change");
-    assert_eq!(summary.version, head.version, "the last change made the head's version");
-    assert_eq!(head.version, self.newest().next(), "versions follow each other without gaps");
-    let change = self.stated.get(&summary.id).expect("only stated changes are accepted");
+    assert_eq!(summary.version, head.version, "the last change created the head's version");
+    assert_eq!(head.version, self.newest().next(), "versions have no gaps");
+    let change = self.stated.get(&summary.id).expect("only submitted changes are accepted");
     let twice = self.versions.values().any(|(id, _)| id.as_ref() == Some(&summary.id));
     assert!(!twice, "change {} was accepted twice", summary.id);
     let mut objects = self.versions[&self.newest()].1.clone();
     for operation in &change.operations {
       match operation {
         Operation::Delete(name) => {
-          assert!(objects.remove(name).is_some(), "{name} was deleted and not there");
+          assert!(objects.remove(name).is_some(), "{name} was deleted but did not exist");
         }
         Operation::Put(object) => {
           objects.insert(object.name(), object.clone());
@@ -63,7 +63,7 @@
     self.versions.insert(head.version, (Some(summary.id.clone()), objects));
   }
 
-  /// A box puts a configuration in force.
+  /// Checks that a box applies an accepted configuration that is not older than any it held.
   pub fn applied(&mut self, index: usize, configuration: &Configuration) {
     let held = self.held.entry(index).or_default();
     assert!(
@@ -75,23 +75,23 @@
     let known = self.versions.get(&configuration.version);
     let (_, objects) = known.expect("only accepted versions are applied");
     let names = configuration.object_names();
-    assert_eq!(names.len(), objects.len(), "version {} is in part", configuration.version);
+    assert_eq!(names.len(), objects.len(), "version {} is incomplete", configuration.version);
     for name in names {
       assert_eq!(configuration.object(&name).as_ref(), objects.get(&name), "{name} differs");
     }
   }
 
-  /// An operator was told that a change is accepted.
+  /// Records that an operator was told that a change is accepted.
   pub fn acknowledged(&mut self, id: &ChangeId, version: Version) {
     self.acknowledged.insert(id.clone(), version);
   }
 
-  /// An operator was told that a change is refused.
+  /// Records that an operator was told that a change is refused.
   pub fn refused(&mut self, id: &ChangeId) {
     self.refused.push(id.clone());
   }
 
-  /// What holds at the end of a history.
+  /// Checks at the end of a run that the answers to the operators were true.
   pub fn check_history(&self) {
     for (id, version) in &self.acknowledged {
       let known = self.versions.get(version).and_then(|(known, _)| known.as_ref());
@@ -108,7 +108,7 @@
   }
 }
 
-/// No route names a service that is not there, and no service such a policy.
+/// Checks that every route's service and every service's policy exists.
 fn check_references(objects: &BTreeMap<ObjectName, Object>) {
   for object in objects.values() {
     let target = match object {
--- a/tests/support/world.rs
+++ b/tests/support/world.rs
@@ -1,4 +1,4 @@
-//! A fleet of distribution state machines in virtual time, with faulty links and a faulty store.
+//! Simulates a fleet of distributors in virtual time, with link and store faults.
 
 use {
   super::oracle::Oracle,
@@ -22,15 +22,15 @@
   std::{collections::BTreeMap, sync::Arc},
 };
 
-/// Milliseconds for which a box waits for the store.
+/// Timeout of a store call in milliseconds.
 const STORE_TIMEOUT_MS: u64 = 1_000;
 
-/// Who called the store.
+/// The caller of the store.
 #[derive(Clone, Copy, Debug)]
 enum Caller {
-  /// An operator's change, by its place in the list.
+  /// An operator's change, by its index.
   Change(usize),
-  /// The distributor of a box in one of its lives, by the number of its call.
+  /// The distributor of a box since one of its starts, with the number of the call.
   Distributor { call: u64, index: usize, life: u64 },
 }
 
@@ -43,30 +43,30 @@
   Tick { index: usize, life: u64 },
 }
 
-/// One box of the world.
+/// A simulated box.
 pub struct SimBox {
-  /// The state machine; nothing while the box is down.
+  /// The state machine; `None` while the box is down.
   pub distributor: Option<Distributor>,
-  /// Until when the box stands still.
+  /// When the pause of the box's process ends.
   frozen_until: u64,
   pub life: u64,
   pub peer: Peer,
-  /// Whether the backend server beside it can work.
+  /// The state of its backend server.
   pub state: EndpointState,
 }
 
 struct Connection {
-  /// The boxes and lives at both ends.
+  /// The box, its start number and the link's id there, for both ends.
   ends: [(usize, u64, LinkId); 2],
-  /// Whether something was lost on it, so that nothing comes through any more.
+  /// Whether a message was lost. Nothing is delivered after that.
   is_broken: bool,
-  /// When the last message arrives at each end.
+  /// When the last message arrives at each end; keeps messages in order.
   last_at: [u64; 2],
 }
 
 struct SimChange {
   acceptance: Acceptance,
-  /// The box, in one of its lives, that the change was stated to.
+  /// The box that the change was submitted to, with its start number.
   at: (usize, u64),
   id: ferryyoke::values::ChangeId,
   is_ended: bool,
@@ -78,22 +78,22 @@
   request: StoreRequest,
 }
 
-/// The faults that are on.
+/// The active faults.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-  /// Pairs of boxes that do not reach each other.
+  /// Pairs of boxes that cannot reach each other.
   pub blocked: Vec<(usize, usize)>,
-  /// Share of store answers that are lost after the call took effect, in percent.
+  /// Percentage of store answers that are lost after the call took effect.
   pub lost_answers: u8,
-  /// Whether watches report nothing.
+  /// Whether watches report no changes.
   pub silent_watches: bool,
-  /// Whether watches leave out or repeat changes.
+  /// Whether watches skip or repeat changes.
   pub skipping_watches: bool,
-  /// Boxes that do not reach the store.
+  /// Boxes that cannot reach the store.
   pub store_cut: Vec<usize>,
   /// Whether the store is down.
   pub store_down: bool,
-  /// Milliseconds that the store takes more.
+  /// Additional latency of the store in milliseconds.
   pub store_slow_ms: u64,
 }
 
@@ -104,15 +104,15 @@
   data_halls: usize,
   pub faults: Faults,
   pub keyspace: Keyspace,
-  /// News about endpoints and updates sent so far, by the number of messages.
+  /// Number of messages with endpoints or updates sent so far.
   pub news_sent: u64,
-  /// What the boxes logged, for whoever looks into a failed history.
+  /// The boxes' log lines, printed when a run fails.
   pub log: Vec<String>,
   last_link: LinkId,
   pub now: u64,
   pub oracle: Oracle,
   queue: BTreeMap<(u64, u64), Happening>,
-  /// Milliseconds that a message takes more between two regions. Two data halls make a region.
+  /// Additional latency between two regions in milliseconds. Two data halls make a region.
   pub region_delay_ms: u64,
   rng: ChaCha8Rng,
   sequence: u64,
@@ -121,7 +121,7 @@
 }
 
 impl World {
-  /// A world of `boxes` boxes in `data_halls` data halls, all of them starting.
+  /// Creates and starts `boxes` boxes in `data_halls` data halls.
   pub fn new(boxes: usize, data_halls: usize, seed: u64) -> Self {
     let peer = |index: usize| Peer {
       address: ([127, 0, 0, 1], 1 + u16::try_from(index).expect("few boxes")).into(),
@@ -169,7 +169,7 @@
     Moment { time: Time(self.now), unix_ms: 1_000_000 + self.now }
   }
 
-  /// Starts a box with empty memory.
+  /// Starts a box without any state, unless it runs.
   pub fn start(&mut self, index: usize) {
     if self.boxes[index].distributor.is_some() {
       return;
@@ -205,7 +205,7 @@
     self.later(1, Happening::Tick { index, life });
   }
 
-  /// Kills a box. Its neighbours hear of it, or not for long.
+  /// Crashes a box. Its neighbours see their links close, unless it crashes silently.
   pub fn crash(&mut self, index: usize, silently: bool) {
     self.boxes[index].distributor = None;
     let life = self.boxes[index].life;
@@ -221,7 +221,7 @@
     }
   }
 
-  /// The backend server beside a box says what it can do; leaving ends this life of the box.
+  /// Reports the state of a box's backend server. `Leaving` holds until the box restarts.
   pub fn set_state(&mut self, index: usize, state: EndpointState) {
     let life = self.boxes[index].life;
     if state != EndpointState::Leaving {
@@ -230,7 +230,7 @@
     self.handle(index, life, Event::EndpointState(state));
   }
 
-  /// Lets a box stand still for some time. What comes meanwhile is handled afterwards.
+  /// Pauses a box's process for some time. Events are handled after the pause.
   pub fn freeze(&mut self, index: usize, duration_ms: u64) {
     self.boxes[index].frozen_until = self.now + duration_ms;
   }
@@ -254,7 +254,7 @@
     self.later(delay_ms, Happening::Event { event: Event::LinkClosed { link }, index, life });
   }
 
-  /// Tells a box something on one of its links that its peer never said.
+  /// Delivers a message on one of the box's links that its peer did not send.
   pub fn forge(&mut self, index: usize, message: Message) {
     let life = self.boxes[index].life;
     let own = self
@@ -268,7 +268,7 @@
     }
   }
 
-  /// A change of the held version that nobody accepted, with a digest that does not fit.
+  /// A delta from the held version with a change that was never accepted and a wrong digest.
   pub fn bent_delta(&mut self, index: usize) -> Option<Update> {
     let catalog = self.boxes[index].distributor.as_ref()?.catalog();
     let base = catalog.version()?;
@@ -281,7 +281,7 @@
     Some(Update::Delta { base, base_digest: catalog.digest()?, changes: vec![change] })
   }
 
-  /// The update that a box would send to one that holds nothing, with its content bent.
+  /// The snapshot that a box would send to one that holds nothing, with altered content.
   pub fn bent_update(&mut self, index: usize) -> Option<Update> {
     let catalog = self.boxes[index].distributor.as_ref()?.catalog();
     let update = catalog.update_for(None)?;
@@ -294,7 +294,7 @@
     Some(Update::Snapshot { changes, configuration: Arc::new(bent), digest, history })
   }
 
-  /// An operator states a change to a box. Without a configuration there, nothing happens.
+  /// Submits an operator's change to a box. Does nothing if the box holds no configuration.
   pub fn state_change(&mut self, index: usize, operations: Vec<Operation>) {
     let Some(distributor) = &self.boxes[index].distributor else {
       return;
@@ -366,7 +366,7 @@
     self.later(delay_ms, Happening::Execute { answers, caller, request });
   }
 
-  /// Whether a caller does not reach the store.
+  /// Whether a caller cannot reach the store.
   fn is_cut_off(&self, caller: Caller) -> bool {
     let index = match caller {
       Caller::Change(change) => self.changes[change].at.0,
@@ -443,7 +443,7 @@
     Reply::Changes { events, revision }
   }
 
-  /// Lets time pass until `until`.
+  /// Runs the simulation until `until`.
   pub fn run_until(&mut self, until: u64) {
     while let Some(entry) = self.queue.first_entry().filter(|entry| entry.key().0 <= until) {
       let ((at, _), happening) = entry.remove_entry();
@@ -604,7 +604,7 @@
     self.later(delay_ms, Happening::Event { event, index: other.0, life: other.1 });
   }
 
-  /// Ends all faults and brings every box back.
+  /// Ends all faults and starts every box that is down.
   pub fn heal(&mut self) {
     self.faults = Faults::default();
     for index in 0..self.boxes.len() {
@@ -612,7 +612,7 @@
     }
   }
 
-  /// What a failed history left, for the message.
+  /// Describes the state of the fleet for the message of a failed check.
   fn describe(&self) -> String {
     let status = |one: &SimBox| match &one.distributor {
       Some(distributor) => format!("{} {:?}", one.peer.box_id, distributor.status()),
@@ -622,7 +622,7 @@
     format!("{}\n{}", self.log.join("\n"), boxes.join("\n"))
   }
 
-  /// Checks that every box holds the newest version and knows every endpoint as it is.
+  /// Checks that every box holds the newest version and knows the state of every endpoint.
   pub fn check_converged(&self) {
     let newest = self.oracle.newest();
     for one in &self.boxes {
@@ -638,7 +638,7 @@
     }
   }
 
-  /// Relays and the store's calls a second while nothing happens.
+  /// Number of boxes that hold a relay slot.
   pub fn relays(&self) -> usize {
     let holds = |one: &&SimBox| {
       one.distributor.as_ref().is_some_and(|distributor| distributor.status().slot.is_some())
@@ -647,13 +647,13 @@
   }
 }
 
-/// The step that puts a policy.
+/// An operation that puts a policy.
 pub fn put_policy() -> Operation {
   let policy = Policy { attempts: 2, deadline_ms: 1_000, owner: team(), queue_length: 8 };
   Operation::Put(Object::Policy("plain".parse().expect("a name"), policy))
 }
 
-/// The step that puts a service.
+/// An operation that puts a service.
 pub fn put_service(number: u8) -> Operation {
   let service = Service {
     cold_start: None,
@@ -666,12 +666,12 @@
   Operation::Put(Object::Service(name, service))
 }
 
-/// The step that deletes a service.
+/// An operation that deletes a service.
 pub fn delete_service(number: u8) -> Operation {
   Operation::Delete(ObjectName::Service(format!("service-{number}").parse().expect("a name")))
 }
 
-/// The step that puts a route to a service.
+/// An operation that puts a route to a service.
 pub fn put_route(number: u8, service: u8) -> Operation {
   let route = Route {
     handling: Handling::default(),
@@ -686,7 +686,7 @@
   Operation::Put(Object::Route(format!("route-{number}").parse().expect("a name"), route))
 }
 
-/// The step that deletes a route.
+/// An operation that deletes a route.
 pub fn delete_route(number: u8) -> Operation {
   Operation::Delete(ObjectName::Route(format!("route-{number}").parse().expect("a name")))
 }
