--- a/src/administration/mod.rs
+++ b/src/administration/mod.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 use crate::{
-  configuration::{Change, Configuration, Head, Object, ObjectName, Summary},
+  configuration::{Change, Configuration, Head, Object, ObjectName, ChangeSummary},
   distribution::{
     Acceptance, AcceptanceStep, Archive, Event, Outcome, Question as FleetQuestion, Report, keys,
   },
--- a/src/administration/questions.rs
+++ b/src/administration/questions.rs
@@ -141,7 +141,7 @@
   ])
 }
 
-fn add_summary(table: &mut Table, summary: &Summary) {
+fn add_summary(table: &mut Table, summary: &ChangeSummary) {
   let touched: Vec<String> = summary.touched.iter().map(ToString::to_string).collect();
   table.add([
     json!(summary.version),
--- a/src/administration/recall.rs
+++ b/src/administration/recall.rs
@@ -62,7 +62,7 @@
     Archive {
       snapshot_digest: head.snapshot_digest,
       snapshot_version: head.snapshot_version,
-      tail: head.since_snapshot().cloned().collect(),
+      tail: head.changes_since_snapshot().cloned().collect(),
     }
   } else {
     let archives = keys_under(shared, keys::archives()).await?;
--- a/src/configuration/accepted_change.rs
+++ b/src/configuration/accepted_change.rs
@@ -8,7 +8,7 @@
   /// The operations, in order.
   pub operations: Vec<Operation>,
   /// Who made the change, when and why.
-  pub summary: Summary,
+  pub summary: ChangeSummary,
 }
 
 impl AcceptedChange {
--- a/src/configuration/summary.rs
+++ b/src/configuration/change_summary.rs
@@ -2,7 +2,7 @@
 
 /// The history's record of an accepted change.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub struct Summary {
+pub struct ChangeSummary {
   /// The change's id.
   pub id: ChangeId,
   /// Who made the change.
@@ -10,11 +10,11 @@
   /// Why, in the operator's words.
   #[serde(default, skip_serializing_if = "String::is_empty")]
   pub reason: String,
-  /// The statement that the operator gave, cut to [`Summary::STATEMENT_CHARS_MAX`].
+  /// The statement that the operator gave, cut to [`ChangeSummary::STATEMENT_CHARS_MAX`].
   pub statement: String,
   /// The operator's team.
   pub team: Team,
-  /// The objects that the change touched, at most [`Summary::TOUCHED_MAX`].
+  /// The objects that the change touched, at most [`ChangeSummary::TOUCHED_MAX`].
   pub touched: Vec<ObjectName>,
   /// When the change was made, in milliseconds since 1970 by the accepting daemon's clock.
   pub unix_ms: u64,
@@ -22,7 +22,7 @@
   pub version: Version,
 }
 
-impl Summary {
+impl ChangeSummary {
   /// Largest number of characters of a recorded statement.
   pub const STATEMENT_CHARS_MAX: usize = 200;
   /// Largest number of recorded objects.
--- a/src/configuration/configuration.rs
+++ b/src/configuration/configuration.rs
@@ -30,9 +30,9 @@
   /// # Errors
   ///
   /// Fails if the change conflicts, or if its result is invalid or too large for the store.
-  pub fn accept(&self, change: &Change, history: &[Summary]) -> Result<AcceptedChange> {
+  pub fn accept(&self, change: &Change, history: &[ChangeSummary]) -> Result<AcceptedChange> {
     if change.operations.is_empty() {
-      return Err(Error::Empty);
+      return Err(Error::NoOperations);
     }
     if let Some(demanded) = change.only_at.filter(|demanded| *demanded != self.version) {
       return Err(Error::VersionMoved { demanded, newest: self.version });
@@ -40,36 +40,42 @@
     for operation in &change.operations {
       self.check_conflict(&operation.target(), change.base, history)?;
     }
-    let next = self.after(self.version.next(), &change.operations)?;
+    let next = self.with_operations(self.version.next(), &change.operations)?;
     next.validate()?;
     next.check_size()?;
     Ok(AcceptedChange {
       digest: next.digest(),
       operations: change.operations.clone(),
-      summary: Summary::of(change, next.version),
+      summary: ChangeSummary::of(change, next.version),
     })
   }
 
   /// Returns the configuration after `change`. Fails if an operation does, or the digest differs.
   pub fn apply(&self, change: &AcceptedChange) -> Result<Self> {
-    let next = self.after(change.version(), &change.operations)?;
+    let next = self.with_operations(change.version(), &change.operations)?;
     if next.digest() != change.digest {
-      return Err(Error::Digest { version: change.version() });
+      return Err(Error::DigestMismatch { version: change.version() });
     }
     Ok(next)
   }
 
-  pub(super) fn after(&self, version: Version, operations: &[Operation]) -> Result<Self> {
+  pub(super) fn with_operations(&self, version: Version, operations: &[Operation]) -> Result<Self> {
     let mut next = self.clone();
     next.version = version;
     for operation in operations {
-      next.step(operation)?;
+      next.apply_operation(operation)?;
     }
     Ok(next)
   }
 
-  fn check_conflict(&self, object: &ObjectName, base: Version, history: &[Summary]) -> Result {
-    let touching = |summary: &&Summary| summary.version > base && summary.touched.contains(object);
+  fn check_conflict(
+    &self,
+    object: &ObjectName,
+    base: Version,
+    history: &[ChangeSummary],
+  ) -> Result {
+    let touching =
+      |summary: &&ChangeSummary| summary.version > base && summary.touched.contains(object);
     let by = history.iter().rev().find(touching);
     let changed = self.revision(object).is_some_and(|revision| revision > base);
     if by.is_none() && !changed {
@@ -147,7 +153,7 @@
     }
   }
 
-  fn step(&mut self, operation: &Operation) -> Result {
+  fn apply_operation(&mut self, operation: &Operation) -> Result {
     match operation {
       Operation::Delete(name) => self.remove(name),
       Operation::Put(object) => {
@@ -187,7 +193,7 @@
       ObjectName::Service(name) => self.services.remove(name).is_some(),
     };
     if !removed {
-      return Err(Error::Missing { object: name.clone() });
+      return Err(Error::UnknownObject { object: name.clone() });
     }
     Ok(())
   }
@@ -216,17 +222,17 @@
     for (name, policy) in &self.policies {
       let object = || ObjectName::Policy(name.clone());
       if !(1..=10).contains(&policy.value.attempts) {
-        return Err(Error::Limit { allowed: "1 to 10", field: "attempts", object: object() });
+        return Err(Error::OutOfRange { allowed: "1 to 10", field: "attempts", object: object() });
       }
       if !(1..=86_400_000).contains(&policy.value.deadline_ms) {
-        return Err(Error::Limit {
+        return Err(Error::OutOfRange {
           allowed: "1 to 86400000",
           field: "deadline_ms",
           object: object(),
         });
       }
       if policy.value.queue_length > 10_000 {
-        return Err(Error::Limit {
+        return Err(Error::OutOfRange {
           allowed: "0 to 10000",
           field: "queue_length",
           object: object(),
@@ -241,20 +247,20 @@
     for (name, route) in &self.routes {
       let object = || ObjectName::Route(name.clone());
       if !route.value.path_prefix.starts_with('/') || route.value.path_prefix.len() > 1_000 {
-        return Err(Error::Limit {
+        return Err(Error::OutOfRange {
           allowed: "1 to 1000 characters that start with `/`",
           field: "path_prefix",
           object: object(),
         });
       }
       if let Some(missing) = route.value.services().find(|one| !self.services.contains_key(*one)) {
-        return Err(Error::Reference {
+        return Err(Error::BrokenReference {
           object: object(),
           target: ObjectName::Service(missing.clone()),
         });
       }
-      if let Some(first) = seen.insert(route.value.conditions(), name) {
-        return Err(Error::Shadowed { first: first.clone(), second: name.clone() });
+      if let Some(first) = seen.insert(route.value.match_conditions(), name) {
+        return Err(Error::DuplicateRoute { first: first.clone(), second: name.clone() });
       }
     }
     Ok(())
@@ -263,7 +269,7 @@
   fn validate_services(&self) -> Result {
     for (name, service) in &self.services {
       if !self.policies.contains_key(&service.value.policy) {
-        return Err(Error::Reference {
+        return Err(Error::BrokenReference {
           object: ObjectName::Service(name.clone()),
           target: ObjectName::Policy(service.value.policy.clone()),
         });
--- a/src/configuration/error.rs
+++ b/src/configuration/error.rs
@@ -3,22 +3,36 @@
 /// Why a change is not accepted, or an update does not apply.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Error {
+  /// An object refers to another one that does not exist.
+  BrokenReference {
+    /// The object that holds the reference.
+    object: ObjectName,
+    /// The object that does not exist.
+    target: ObjectName,
+  },
   /// Another change modified the same object since the base version.
   Conflict {
     /// The other change, if the history still contains it.
-    by: Option<Box<Summary>>,
+    by: Option<Box<ChangeSummary>>,
     /// The object that both changes touch.
     object: ObjectName,
   },
   /// The result does not match the digest that the update carries.
-  Digest {
+  DigestMismatch {
     /// The version of the result.
     version: Version,
   },
+  /// Two routes match the same requests, so one of them would never be used.
+  DuplicateRoute {
+    /// One route.
+    first: RouteName,
+    /// The other route.
+    second: RouteName,
+  },
   /// The change has no operations.
-  Empty,
+  NoOperations,
   /// A value is out of its limits.
-  Limit {
+  OutOfRange {
     /// The allowed values.
     allowed: &'static str,
     /// The field.
@@ -26,30 +40,16 @@
     /// The object that has the field.
     object: ObjectName,
   },
-  /// The object to delete does not exist.
-  Missing {
-    /// The object.
-    object: ObjectName,
-  },
-  /// An object refers to another one that does not exist.
-  Reference {
-    /// The object that holds the reference.
-    object: ObjectName,
-    /// The object that does not exist.
-    target: ObjectName,
-  },
-  /// Two routes match the same requests, so one of them would never be used.
-  Shadowed {
-    /// One route.
-    first: RouteName,
-    /// The other route.
-    second: RouteName,
-  },
   /// The configuration does not fit the store.
   TooLarge {
     /// Its encoded size in bytes.
     bytes: usize,
   },
+  /// The object to delete does not exist.
+  UnknownObject {
+    /// The object.
+    object: ObjectName,
+  },
   /// The newest version is not the one that the change requires.
   VersionMoved {
     /// The required version.
@@ -71,20 +71,20 @@
         f,
         "{object} was changed since your base version: look at it and state your change again"
       ),
-      Self::Digest { version } => {
+      Self::DigestMismatch { version } => {
         write!(f, "the update to version {version} does not give the digest that it promises")
       }
-      Self::Empty => write!(f, "the change has no steps: state at least one"),
-      Self::Limit { allowed, field, object } => {
+      Self::NoOperations => write!(f, "the change has no steps: state at least one"),
+      Self::OutOfRange { allowed, field, object } => {
         write!(f, "{field} of {object} is out of its limits: give {allowed}")
       }
-      Self::Missing { object } => write!(f, "there is no {object}: create it first"),
-      Self::Reference { object, target } => write!(
+      Self::UnknownObject { object } => write!(f, "there is no {object}: create it first"),
+      Self::BrokenReference { object, target } => write!(
         f,
         "{object} names {target}, which does not exist: create {target} in the same change, or \
          keep it while {object} names it"
       ),
-      Self::Shadowed { first, second } => write!(
+      Self::DuplicateRoute { first, second } => write!(
         f,
         "route {first} and route {second} match the same requests: change or delete one of them"
       ),
--- a/src/configuration/head.rs
+++ b/src/configuration/head.rs
@@ -8,13 +8,13 @@
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Head {
   /// The newest accepted changes, oldest first, at most [`Head::HISTORY_MAX`].
-  pub history: Vec<Summary>,
+  pub history: Vec<ChangeSummary>,
   /// The digest of the snapshot.
   pub snapshot_digest: Digest,
   /// The version of the snapshot. Never above `version`.
   pub snapshot_version: Version,
   /// The last changes, up to `version` without gaps: all after `snapshot_version`, and at most
-  /// [`Head::TAIL_KEPT`] older ones.
+  /// [`Head::TAIL_RETAINED`] older ones.
   pub tail: Vec<AcceptedChange>,
   /// The newest version.
   pub version: Version,
@@ -26,7 +26,7 @@
   /// Bytes of encoded changes since the snapshot above which the next change stores a new snapshot.
   pub const TAIL_BYTES_MAX: usize = 64_000;
   /// Changes that are retained in the tail when a snapshot that contains them is stored.
-  pub const TAIL_KEPT: usize = 4;
+  pub const TAIL_RETAINED: usize = 4;
   /// Number of changes since the snapshot at which the next change stores a new snapshot.
   pub const TAIL_MAX: usize = 32;
 
@@ -37,7 +37,7 @@
 
   /// Returns the head after `change` is accepted.
   #[must_use]
-  pub fn with(&self, change: AcceptedChange) -> Self {
+  pub fn with_change(&self, change: AcceptedChange) -> Self {
     let mut next = self.clone();
     next.version = change.version();
     next.history.push(change.summary.clone());
@@ -51,26 +51,26 @@
   #[must_use]
   pub fn with_snapshot(&self, change: AcceptedChange) -> Self {
     let (digest, version) = (change.digest, change.version());
-    let mut next = self.with(change);
+    let mut next = self.with_change(change);
     next.snapshot_digest = digest;
     next.snapshot_version = version;
-    let surplus = next.tail.len().saturating_sub(Self::TAIL_KEPT);
+    let surplus = next.tail.len().saturating_sub(Self::TAIL_RETAINED);
     next.tail.drain(..surplus);
     next
   }
 
   /// The changes after the snapshot.
-  pub fn since_snapshot(&self) -> impl Iterator<Item = &AcceptedChange> {
+  pub fn changes_since_snapshot(&self) -> impl Iterator<Item = &AcceptedChange> {
     self.tail.iter().filter(|change| change.version() > self.snapshot_version)
   }
 
   /// Whether the tail is so long that `change` should be stored with a new snapshot.
-  pub fn wants_snapshot(&self, change: &AcceptedChange) -> bool {
-    if self.since_snapshot().count() >= Self::TAIL_MAX {
+  pub fn needs_snapshot(&self, change: &AcceptedChange) -> bool {
+    if self.changes_since_snapshot().count() >= Self::TAIL_MAX {
       return true;
     }
     let encoded = |change: &AcceptedChange| to_json(change).len();
-    let bytes: usize = self.since_snapshot().map(encoded).sum();
+    let bytes: usize = self.changes_since_snapshot().map(encoded).sum();
     bytes + encoded(change) > Self::TAIL_BYTES_MAX
   }
 
--- a/src/configuration/mod.rs
+++ b/src/configuration/mod.rs
@@ -10,16 +10,17 @@
 
 pub use self::{
   accepted_change::AcceptedChange, caller_limits::CallerLimits, change::Change,
-  cold_start::ColdStart, configuration::Configuration, drain::Drain, error::Error,
-  handling::Handling, head::Head, object::Object, object_name::ObjectName, operation::Operation,
-  organisation::Organisation, patch::Patch, policy::Policy, rate_limit::RateLimit,
-  revised::Revised, route::Route, service::Service, source::Source, summary::Summary,
-  unreadable::Unreadable, weighted_service::WeightedService,
+  change_summary::ChangeSummary, cold_start::ColdStart, configuration::Configuration, drain::Drain,
+  error::Error, handling::Handling, head::Head, object::Object, object_name::ObjectName,
+  operation::Operation, organisation::Organisation, parse_error::ParseError, patch::Patch,
+  policy::Policy, rate_limit::RateLimit, revised::Revised, route::Route, service::Service,
+  source::Source, weighted_service::WeightedService,
 };
 
 mod accepted_change;
 mod caller_limits;
 mod change;
+mod change_summary;
 mod cold_start;
 #[allow(clippy::module_inception)]
 mod configuration;
@@ -31,6 +32,7 @@
 mod object_name;
 mod operation;
 mod organisation;
+mod parse_error;
 mod patch;
 mod policy;
 mod rate_limit;
@@ -38,8 +40,6 @@
 mod route;
 mod service;
 mod source;
-mod summary;
-mod unreadable;
 mod weighted_service;
 
 /// Result of an operation on the configuration.
--- a/src/configuration/patch.rs
+++ b/src/configuration/patch.rs
@@ -26,10 +26,10 @@
 
 impl Patch {
   /// The revision of all objects that come from a source.
-  pub const REVISION: Version = Version(0);
+  pub const SOURCE_REVISION: Version = Version(0);
 
   /// The patch from `base` to `next`, each given with its digest.
-  pub fn between(base: (&Configuration, Digest), next: (&Configuration, Digest)) -> Self {
+  pub fn diff(base: (&Configuration, Digest), next: (&Configuration, Digest)) -> Self {
     let (base, base_digest) = base;
     let (next, digest) = next;
     let changed = next.object_names().into_iter().filter_map(|name| {
@@ -44,11 +44,11 @@
 
   /// Applies the patch to `base`. Fails if an operation does, or if the digest differs.
   pub fn apply(&self, base: &Configuration) -> Result<Configuration> {
-    let mut next = base.after(Self::REVISION, &self.operations)?;
+    let mut next = base.with_operations(Self::SOURCE_REVISION, &self.operations)?;
     next.limits = self.limits;
     next.version = self.version;
     if next.digest() != self.digest {
-      return Err(Error::Digest { version: self.version });
+      return Err(Error::DigestMismatch { version: self.version });
     }
     Ok(next)
   }
--- a/src/configuration/route.rs
+++ b/src/configuration/route.rs
@@ -29,7 +29,7 @@
 
 impl Route {
   /// Whether `path` has the route's prefix and the prefix ends at a segment boundary.
-  pub fn covers_path(&self, path: &str) -> bool {
+  pub fn matches_path(&self, path: &str) -> bool {
     let Some(rest) = path.strip_prefix(&self.path_prefix) else {
       return false;
     };
@@ -43,7 +43,9 @@
   }
 
   /// The conditions on a request, for finding two routes with equal ones.
-  pub(super) fn conditions(&self) -> (Option<&str>, &str, Option<&str>, &BTreeMap<String, String>) {
+  pub(super) fn match_conditions(
+    &self,
+  ) -> (Option<&str>, &str, Option<&str>, &BTreeMap<String, String>) {
     (self.host.as_deref(), &self.path_prefix, self.method.as_deref(), &self.headers)
   }
 
--- a/src/configuration/source.rs
+++ b/src/configuration/source.rs
@@ -28,5 +28,5 @@
   }
 
   /// Parses the configuration in the value of [`Source::key`].
-  fn read(&self, value: &str) -> std::result::Result<Configuration, Unreadable>;
+  fn read(&self, value: &str) -> std::result::Result<Configuration, ParseError>;
 }
--- a/src/distribution/acceptance.rs
+++ b/src/distribution/acceptance.rs
@@ -283,15 +283,15 @@
       return Ok(Self { archive: None, expected, head, snapshot: Some(snapshot) });
     };
     let expected = Expected::At(revision);
-    if !head.wants_snapshot(&accepted) {
-      let head = head.with(accepted);
+    if !head.needs_snapshot(&accepted) {
+      let head = head.with_change(accepted);
       return Ok(Self { archive: None, expected, head, snapshot: None });
     }
     let (snapshot, _) = snapshot_of(base, &accepted)?;
     let archive = Archive {
       snapshot_digest: head.snapshot_digest,
       snapshot_version: head.snapshot_version,
-      tail: head.since_snapshot().cloned().collect(),
+      tail: head.changes_since_snapshot().cloned().collect(),
     };
     Ok(Self {
       archive: Some((keys::archive(&archive), archive.encode())),
--- a/src/distribution/catalog.rs
+++ b/src/distribution/catalog.rs
@@ -10,7 +10,7 @@
   /// The lowest version that this box may take.
   floor: Version,
   /// Newest changes, oldest first; ends with the held version where not empty.
-  history: Vec<Summary>,
+  history: Vec<ChangeSummary>,
   /// The last patches, oldest first, each starting where the one before it ended; ends with the held
   /// version where not empty.
   patches: VecDeque<Patch>,
@@ -52,7 +52,7 @@
   }
 
   /// The newest changes that led to the held version, oldest first.
-  pub fn history(&self) -> &[Summary] {
+  pub fn history(&self) -> &[ChangeSummary] {
     &self.history
   }
 
@@ -141,7 +141,7 @@
     let digest = configuration.digest();
     let held = self.configuration.clone().zip(self.digest);
     let patch = held
-      .map(|(held, held_digest)| Patch::between((&held, held_digest), (&configuration, digest)));
+      .map(|(held, held_digest)| Patch::diff((&held, held_digest), (&configuration, digest)));
     match patch {
       Some(patch) => self.remember_patch(patch),
       None => self.patches.clear(),
@@ -200,12 +200,12 @@
     &mut self,
     configuration: Arc<Configuration>,
     digest: Digest,
-    history: Vec<Summary>,
+    history: Vec<ChangeSummary>,
     changes: Vec<AcceptedChange>,
   ) -> Result {
     let version = configuration.version;
     if configuration.digest() != digest {
-      return Err(configuration::Error::Digest { version }.into());
+      return Err(configuration::Error::DigestMismatch { version }.into());
     }
     let next = follow(configuration, &changes)?;
     next.validate()?;
--- a/src/distribution/distributor/news.rs
+++ b/src/distribution/distributor/endpoint_updates.rs
@@ -3,11 +3,11 @@
 /// Spreads endpoints through the fleet and declares silent boxes lost.
 impl Distributor {
   /// Largest number of endpoints in one message.
-  const NEWS_BATCH: usize = 64;
+  const ENDPOINTS_PER_MESSAGE: usize = 64;
   /// Consecutive heartbeats with a different fingerprint after which the whole table is sent.
   const MISMATCHES_MAX: u32 = 3;
   /// Shortest time between two whole tables on one link, in milliseconds.
-  const SYNC_PAUSE_MS: u64 = 15_000;
+  const SYNC_INTERVAL_MIN_MS: u64 = 15_000;
 
   pub(super) fn change_state(&mut self, state: EndpointState) {
     if self.own.state == state || self.own.state == EndpointState::Leaving {
@@ -22,7 +22,7 @@
       if let Some(request) = self.election.resign() {
         self.call_store(request);
       }
-      self.step_down(&slot);
+      self.resign_relay(&slot);
     }
   }
 
@@ -36,22 +36,22 @@
   pub(super) fn announce(&mut self) {
     self.own.sequence += 1;
     self.endpoints.merge(self.now.time, self.own.clone());
-    self.spread(&self.own.peer.box_id.clone(), None);
-    self.act(Action::EndpointsChanged);
+    self.queue_endpoint(&self.own.peer.box_id.clone(), None);
+    self.push_action(Action::EndpointsChanged);
   }
 
   /// Queues a box's endpoint for all neighbours except the one that sent it.
-  fn spread(&mut self, box_id: &BoxId, from: Option<LinkId>) {
+  fn queue_endpoint(&mut self, box_id: &BoxId, from: Option<LinkId>) {
     for (id, link) in &mut self.links {
       if link.is_settled() && Some(*id) != from {
         link.dirty.insert(box_id.clone());
       }
     }
     let due = self.now.time.after(self.identity.timing.news_delay_ms);
-    self.news_due.get_or_insert(due);
+    self.endpoints_due.get_or_insert(due);
   }
 
-  pub(super) fn news_received(&mut self, link: LinkId, endpoints: Vec<Endpoint>) {
+  pub(super) fn endpoints_received(&mut self, link: LinkId, endpoints: Vec<Endpoint>) {
     let mut changed = false;
     for endpoint in endpoints {
       let box_id = endpoint.peer.box_id.clone();
@@ -61,32 +61,32 @@
       }
       if self.endpoints.merge(self.now.time, endpoint) {
         changed = true;
-        self.spread(&box_id, Some(link));
+        self.queue_endpoint(&box_id, Some(link));
       }
     }
     if changed {
-      self.act(Action::EndpointsChanged);
+      self.push_action(Action::EndpointsChanged);
     }
   }
 
   /// Overrides an announcement about this box that it did not make, such as its loss, by a newer
   /// one.
-  fn refute(&mut self, rumour: &Endpoint) {
-    if !rumour.is_newer_than(&self.own) {
+  fn refute(&mut self, announcement: &Endpoint) {
+    if !announcement.is_newer_than(&self.own) {
       return;
     }
-    if rumour.incarnation > self.own.incarnation {
-      self.own.incarnation = rumour.incarnation.next();
+    if announcement.incarnation > self.own.incarnation {
+      self.own.incarnation = announcement.incarnation.next();
     }
-    self.own.sequence = self.own.sequence.max(rumour.sequence);
+    self.own.sequence = self.own.sequence.max(announcement.sequence);
     self.announce();
   }
 
-  pub(super) fn flush_news(&mut self) {
-    if self.news_due.is_none_or(|due| self.now.time < due) {
+  pub(super) fn send_queued_endpoints(&mut self) {
+    if self.endpoints_due.is_none_or(|due| self.now.time < due) {
       return;
     }
-    self.news_due = None;
+    self.endpoints_due = None;
     let links: Vec<LinkId> = self.links.keys().copied().collect();
     for link in links {
       let Some(known) = self.links.get_mut(&link) else {
@@ -95,12 +95,12 @@
       let dirty = std::mem::take(&mut known.dirty);
       let endpoints: Vec<Endpoint> =
         dirty.iter().filter_map(|id| self.endpoints.get(id)).cloned().collect();
-      self.send_news(link, &endpoints);
+      self.send_endpoints(link, &endpoints);
     }
   }
 
-  fn send_news(&mut self, link: LinkId, endpoints: &[Endpoint]) {
-    for batch in endpoints.chunks(Self::NEWS_BATCH) {
+  fn send_endpoints(&mut self, link: LinkId, endpoints: &[Endpoint]) {
+    for batch in endpoints.chunks(Self::ENDPOINTS_PER_MESSAGE) {
       self.send(link, Message::News(batch.to_vec()));
     }
   }
@@ -117,7 +117,7 @@
       link.synced_at = Some(now);
     }
     let all: Vec<Endpoint> = self.endpoints.iter().cloned().collect();
-    self.send_news(link, &all);
+    self.send_endpoints(link, &all);
   }
 
   /// Counts consecutive fingerprint mismatches and sends the whole table after too many of them.
@@ -128,36 +128,36 @@
       return;
     };
     known.mismatches = if differs { known.mismatches + 1 } else { 0 };
-    let rested = known.synced_at.is_none_or(|at| now.since_ms(at) >= Self::SYNC_PAUSE_MS);
-    if known.mismatches >= Self::MISMATCHES_MAX && rested {
+    let is_due = known.synced_at.is_none_or(|at| now.since_ms(at) >= Self::SYNC_INTERVAL_MIN_MS);
+    if known.mismatches >= Self::MISMATCHES_MAX && is_due {
       self.sync_endpoints_unless(link, fingerprint);
     }
   }
 
   /// On a relay, records the boxes of its data hall that no relay hears from.
-  pub(super) fn note_departures(&mut self) {
+  pub(super) fn track_silent_boxes(&mut self) {
     if !self.is_relay() {
-      self.departures.clear();
+      self.silent_boxes.clear();
       return;
     }
     let due = self.now.time.after(2 * self.identity.timing.silence_ms());
-    let unheard: Vec<(BoxId, Incarnation, u64)> = self
+    let silent: Vec<(BoxId, Incarnation, u64)> = self
       .endpoints
       .present()
-      .filter(|endpoint| self.is_unheard(endpoint))
+      .filter(|endpoint| self.is_silent(endpoint))
       .map(|endpoint| (endpoint.peer.box_id.clone(), endpoint.incarnation, endpoint.sequence))
       .collect();
-    let still: BTreeSet<BoxId> = unheard.iter().map(|(box_id, ..)| box_id.clone()).collect();
-    self.departures.retain(|box_id, _| still.contains(box_id));
-    for (box_id, incarnation, sequence) in unheard {
-      let known = self.departures.get(&box_id);
+    let still: BTreeSet<BoxId> = silent.iter().map(|(box_id, ..)| box_id.clone()).collect();
+    self.silent_boxes.retain(|box_id, _| still.contains(box_id));
+    for (box_id, incarnation, sequence) in silent {
+      let known = self.silent_boxes.get(&box_id);
       if known.is_none_or(|(life, step, _)| (*life, *step) != (incarnation, sequence)) {
-        self.departures.insert(box_id, (incarnation, sequence, due));
+        self.silent_boxes.insert(box_id, (incarnation, sequence, due));
       }
     }
   }
 
-  fn is_unheard(&self, endpoint: &Endpoint) -> bool {
+  fn is_silent(&self, endpoint: &Endpoint) -> bool {
     let own = &self.own.peer;
     if endpoint.peer.box_id == own.box_id || endpoint.peer.data_hall != own.data_hall {
       return false;
@@ -178,21 +178,21 @@
   pub(super) fn declare_lost(&mut self) {
     let now = self.now.time;
     let over: Vec<BoxId> = self
-      .departures
+      .silent_boxes
       .iter()
       .filter(|(_, (.., due))| now >= *due)
       .map(|(box_id, _)| box_id.clone())
       .collect();
     for box_id in over {
-      self.departures.remove(&box_id);
+      self.silent_boxes.remove(&box_id);
       let Some(mut endpoint) = self.endpoints.get(&box_id).cloned() else {
         continue;
       };
       endpoint.state = EndpointState::Lost;
       if self.endpoints.merge(now, endpoint) {
         self.log(format!("box {box_id} is lost: no relay hears from it"));
-        self.spread(&box_id, None);
-        self.act(Action::EndpointsChanged);
+        self.queue_endpoint(&box_id, None);
+        self.push_action(Action::EndpointsChanged);
       }
     }
   }
--- a/src/distribution/distributor/asking.rs
+++ b/src/distribution/distributor/inquiries.rs
@@ -2,12 +2,12 @@
 
 /// Queries of operators, which are forwarded over the links and whose answers are collected.
 impl Distributor {
-  pub(super) fn asked(&mut self, question: &Question, token: u64) {
+  pub(super) fn operator_query_received(&mut self, question: &Question, token: u64) {
     let asker = Asker::Operator(token);
-    self.inquire(&asker, Inquiries::HOPS_MAX, question);
+    self.start_inquiry(&asker, Inquiries::HOPS_MAX, question);
   }
 
-  pub(super) fn neighbour_asked(
+  pub(super) fn query_received(
     &mut self,
     link: LinkId,
     hops: u8,
@@ -20,11 +20,11 @@
       self.send(link, Message::Answer { id, reports });
       return;
     }
-    self.inquire(&Asker::Neighbour(link, id), hops, question);
+    self.start_inquiry(&Asker::Neighbour(link, id), hops, question);
   }
 
-  fn inquire(&mut self, asker: &Asker, hops: u8, question: &Question) {
-    let targets = if hops == 0 { BTreeSet::new() } else { self.targets(asker, question) };
+  fn start_inquiry(&mut self, asker: &Asker, hops: u8, question: &Question) {
+    let targets = if hops == 0 { BTreeSet::new() } else { self.forward_targets(asker, question) };
     let consulting = matches!(question, Question::Request { .. });
     let own = self.own_reports(question);
     let started =
@@ -34,7 +34,7 @@
       return;
     };
     if consulting {
-      self.act(Action::Consult { id, question: question.clone() });
+      self.push_action(Action::Consult { id, question: question.clone() });
     }
     for link in targets {
       let ask = Message::Ask { hops: hops.saturating_sub(1), id, question: question.clone() };
@@ -44,7 +44,7 @@
 
   /// The neighbours that an inquiry is forwarded to: along the subscription tree and between
   /// relays, never back to the asker.
-  fn targets(&self, asker: &Asker, question: &Question) -> BTreeSet<LinkId> {
+  fn forward_targets(&self, asker: &Asker, question: &Question) -> BTreeSet<LinkId> {
     let from = match asker {
       Asker::Neighbour(link, _) => Some(*link),
       Asker::Operator(_) => None,
@@ -86,7 +86,7 @@
       unix_ms: self.applied_unix_ms(),
       version: self.catalog.version(),
     };
-    let served = self.settled_links(LinkRole::Downstream).map(|(_, link)| Report::Applied {
+    let served = self.established_links(LinkRole::Downstream).map(|(_, link)| Report::Applied {
       box_id: link.peer.clone(),
       refusal: link.refusal.clone(),
       unix_ms: link.applied_unix_ms,
@@ -105,7 +105,7 @@
       return;
     };
     if let [Report::Floor { version }] = reports[..] {
-      self.floor_heard(peer, version);
+      self.floor_received(peer, version);
       self.close_link(link);
       return;
     }
@@ -122,7 +122,7 @@
     match asker {
       Asker::Neighbour(link, id) => self.send(*link, Message::Answer { id: *id, reports }),
       Asker::Operator(token) => {
-        self.act(Action::Answer { missing, reports, token: *token });
+        self.push_action(Action::Answer { missing, reports, token: *token });
       }
     }
   }
--- a/src/distribution/distributor/mod.rs
+++ b/src/distribution/distributor/mod.rs
@@ -8,19 +8,19 @@
   watcher::Seen,
 };
 
-mod asking;
-mod floor;
-mod linking;
-mod news;
-mod pushing;
-mod relaying;
-mod serving;
+mod endpoint_updates;
+mod floor_discovery;
+mod inquiries;
+mod neighbours;
+mod relay_list;
 mod status;
-mod storing;
+mod store_watch;
+mod subscriptions;
+mod updates;
 
 pub use self::status::Status;
 
-use self::floor::Floor;
+use self::floor_discovery::FloorDiscovery;
 
 /// Keeps a daemon's configuration current and passes it on.
 ///
@@ -33,41 +33,41 @@
   actions: Vec<Action>,
   /// Boxes to which a link is being opened to announce this relay.
   announcing: BTreeSet<BoxId>,
-  /// When the last heartbeats were sent.
-  beat_at: Time,
+  /// When the held version was applied.
+  applied_at: Time,
   catalog: Catalog,
   /// When the store last confirmed that the held version is the newest.
   confirmed_at: Option<Time>,
-  /// Boxes that no relay hears from, with the incarnation and sequence last announced and the time
-  /// at which they are declared lost.
-  departures: BTreeMap<BoxId, (Incarnation, u64, Time)>,
   election: Election,
   endpoints: EndpointTable,
-  floor: Floor,
+  /// When the queued endpoints are sent.
+  endpoints_due: Option<Time>,
+  floor_discovery: FloorDiscovery,
+  /// When the last heartbeats were sent.
+  heartbeat_sent_at: Time,
   identity: Identity,
   inquiries: Inquiries,
+  /// The highest version that each subscriber's box is known to have held.
+  known_versions: BTreeMap<BoxId, Version>,
   /// Number of the last call to the store.
   last_call: u64,
   links: BTreeMap<LinkId, Link>,
-  /// When the newest version is sent to relays that have not read it from the store.
-  mesh_push_at: Time,
   /// When to connect to a relay again, by box.
   mesh_next_at: BTreeMap<BoxId, Time>,
-  /// When the queued endpoints are sent.
-  news_due: Option<Time>,
+  /// When the newest version is sent to relays that have not read it from the store.
+  mesh_push_at: Time,
   now: Moment,
   /// The daemon's own endpoint, as last announced.
   own: Endpoint,
   /// When the newest version is sent to the subscribers.
   push_due: Option<Time>,
-  /// The highest version that each subscriber's box is known to have held.
-  records: BTreeMap<BoxId, Version>,
   relays: Relays,
   rng: ChaCha8Rng,
+  /// Boxes that no relay hears from, with the incarnation and sequence last announced and the time
+  /// at which they are declared lost.
+  silent_boxes: BTreeMap<BoxId, (Incarnation, u64, Time)>,
   /// The store's newest version if it is older than the held one.
   store_behind: Option<Version>,
-  /// When the held version was applied.
-  switched_at: Time,
   upstream: Upstream,
   watcher: Watcher,
 }
@@ -84,28 +84,28 @@
     let mut distributor = Self {
       actions: Vec::new(),
       announcing: BTreeSet::new(),
-      beat_at: now.time,
+      applied_at: now.time,
       catalog: Catalog::default(),
       confirmed_at: None,
-      departures: BTreeMap::new(),
       election: Election::default(),
       endpoints: EndpointTable::default(),
-      floor: Floor::new(now.time, &identity),
+      endpoints_due: None,
+      floor_discovery: FloorDiscovery::new(now.time, &identity),
+      heartbeat_sent_at: now.time,
       identity,
       inquiries: Inquiries::default(),
+      known_versions: BTreeMap::new(),
       last_call: 0,
       links: BTreeMap::new(),
-      mesh_push_at: now.time,
       mesh_next_at: BTreeMap::new(),
-      news_due: None,
+      mesh_push_at: now.time,
       now,
       own: own.clone(),
       push_due: None,
-      records: BTreeMap::new(),
       relays: Relays::default(),
       rng: ChaCha8Rng::seed_from_u64(seed),
+      silent_boxes: BTreeMap::new(),
       store_behind: None,
-      switched_at: now.time,
       upstream: Upstream::default(),
       watcher: Watcher::default(),
     };
@@ -117,8 +117,8 @@
   pub fn handle(&mut self, now: Moment, event: Event) -> Vec<Action> {
     self.now = now;
     match event {
-      Event::Accepted { version } => self.accepted(version, None),
-      Event::Asked { question, token } => self.asked(&question, token),
+      Event::Accepted { version } => self.newer_version_accepted(version, None),
+      Event::Asked { question, token } => self.operator_query_received(&question, token),
       Event::Consulted { id, reports } => self.inquiries.consulted(id, reports),
       Event::EndpointServes { service, slots, starts, .. } => {
         self.own.backend_starts = starts;
@@ -144,16 +144,16 @@
     self.tick_election();
     self.tick_watcher();
     self.tick_upstream();
-    self.tick_floor();
+    self.tick_floor_discovery();
     self.tick_mesh();
     self.close_silent_links();
     self.push_updates();
-    self.flush_news();
-    if self.now.time.since_ms(self.beat_at) >= self.identity.timing.beat_ms {
-      self.beat_at = self.now.time;
-      self.note_departures();
+    self.send_queued_endpoints();
+    if self.now.time.since_ms(self.heartbeat_sent_at) >= self.identity.timing.beat_ms {
+      self.heartbeat_sent_at = self.now.time;
+      self.track_silent_boxes();
       self.endpoints.expire(self.now.time);
-      self.send_beats(|_| true);
+      self.send_heartbeats(|_| true);
     }
     self.declare_lost();
   }
@@ -164,40 +164,40 @@
     };
     known.heard_at = self.now.time;
     match message {
-      Message::Accepted { version } => self.accepted(version, Some(link)),
+      Message::Accepted { version } => self.newer_version_accepted(version, Some(link)),
       Message::Answer { id, reports } => self.inquiry_answered(link, id, reports),
-      Message::Ask { hops, id, question } => self.neighbour_asked(link, hops, id, &question),
-      Message::Beat(beat) => self.beat_received(link, &beat),
+      Message::Ask { hops, id, question } => self.query_received(link, hops, id, &question),
+      Message::Beat(heartbeat) => self.heartbeat_received(link, &heartbeat),
       // Software rollouts are ordered on an outer platform only.
       Message::Evacuations(_) | Message::Evidence(_) | Message::Rollout(_) => {}
-      Message::News(endpoints) => self.news_received(link, endpoints),
-      Message::Redirect { floor, relays } => self.redirected(link, floor, relays),
-      Message::Refused { reason } => self.update_refused(link, reason),
+      Message::News(endpoints) => self.endpoints_received(link, endpoints),
+      Message::Redirect { floor, relays } => self.redirect_received(link, floor, relays),
+      Message::Refused { reason } => self.refusal_received(link, reason),
       Message::Relays(relays) => self.relays_received(link, relays),
-      Message::Subscribe(subscribe) => self.subscription_asked(link, &subscribe),
-      Message::Update(update) => self.packed_received(link, &update),
+      Message::Subscribe(subscribe) => self.subscribe_received(link, &subscribe),
+      Message::Update(update) => self.packed_update_received(link, &update),
       Message::Welcome { floor, is_relay, relays } => {
-        self.welcomed(link, floor, is_relay, relays);
+        self.welcome_received(link, floor, is_relay, relays);
       }
     }
   }
 
-  fn act(&mut self, action: Action) {
+  fn push_action(&mut self, action: Action) {
     self.actions.push(action);
   }
 
   fn send(&mut self, link: LinkId, message: Message) {
-    self.act(Action::Send { link, message });
+    self.push_action(Action::Send { link, message });
   }
 
   fn log(&mut self, text: impl Into<String>) {
-    self.act(Action::Log(text.into()));
+    self.push_action(Action::Log(text.into()));
   }
 
   fn call_store(&mut self, request: StoreRequest) {
     self.last_call += 1;
     let call = self.last_call;
-    self.act(Action::CallStore { call, request });
+    self.push_action(Action::CallStore { call, request });
   }
 
   /// The number that the next call to the store will have.
@@ -209,7 +209,7 @@
     self.election.held().is_some()
   }
 
-  fn settled_links(&self, role: LinkRole) -> impl Iterator<Item = (LinkId, &Link)> {
+  fn established_links(&self, role: LinkRole) -> impl Iterator<Item = (LinkId, &Link)> {
     self.links.iter().filter(move |(_, link)| link.role == role).map(|(id, link)| (*id, link))
   }
 
--- a/src/distribution/distributor/linking.rs
+++ b/src/distribution/distributor/neighbours.rs
@@ -20,7 +20,7 @@
       &mut self.rng,
     );
     if let Some(peer) = target {
-      self.act(Action::OpenLink(peer));
+      self.push_action(Action::OpenLink(peer));
     }
   }
 
@@ -38,7 +38,7 @@
     }
     let own = self.own.peer.box_id.clone();
     let linked: BTreeSet<BoxId> =
-      self.settled_links(LinkRole::Mesh).map(|(_, link)| link.peer.clone()).collect();
+      self.established_links(LinkRole::Mesh).map(|(_, link)| link.peer.clone()).collect();
     let wanted = self.relays.0.iter().map(|(_, peer)| peer);
     let missing: BTreeSet<Peer> =
       wanted.filter(|peer| peer.box_id > own && !linked.contains(&peer.box_id)).cloned().collect();
@@ -47,7 +47,7 @@
       if due {
         let pause_ms = self.rng.random_range(Self::MESH_RETRY_MS / 2..=Self::MESH_RETRY_MS);
         self.mesh_next_at.insert(peer.box_id.clone(), self.now.time.after(pause_ms));
-        self.act(Action::OpenLink(peer));
+        self.push_action(Action::OpenLink(peer));
       }
     }
   }
@@ -62,7 +62,7 @@
       self.subscribe(link);
       return;
     }
-    if self.is_asking_floor(peer) {
+    if self.is_querying_floor(peer) {
       let question = Question::Floor { box_id: self.own.peer.box_id.clone() };
       self.send(link, Message::Ask { hops: 0, id: InquiryId::default(), question });
       return;
@@ -81,7 +81,7 @@
   }
 
   pub(super) fn link_failed(&mut self, box_id: &BoxId) {
-    self.floor_asked_ended(box_id);
+    self.floor_query_ended(box_id);
     self.announcing.remove(box_id);
     if self.upstream.is_connecting(box_id) {
       self.upstream.fail(self.now.time, &mut self.rng);
@@ -93,14 +93,14 @@
       return;
     };
     self.inquiries.link_closed(link);
-    self.floor_asked_ended(&closed.peer);
+    self.floor_query_ended(&closed.peer);
     if self.upstream.any_link() == Some(link) {
       self.upstream.fail(self.now.time, &mut self.rng);
     }
   }
 
   pub(super) fn close_link(&mut self, link: LinkId) {
-    self.act(Action::CloseLink { link });
+    self.push_action(Action::CloseLink { link });
     self.link_closed(link);
   }
 
@@ -132,11 +132,11 @@
     self.send(link, Message::Subscribe(Box::new(subscribe)));
   }
 
-  pub(super) fn redirected(&mut self, link: LinkId, floor: Version, relays: Relays) {
+  pub(super) fn redirect_received(&mut self, link: LinkId, floor: Version, relays: Relays) {
     let Some(known) = self.links.get(&link) else {
       return;
     };
-    self.floor_heard(known.peer.clone(), floor);
+    self.floor_received(known.peer.clone(), floor);
     self.learn_relays(relays);
     if self.upstream.any_link() == Some(link) {
       self.drop_upstream();
@@ -145,13 +145,19 @@
     }
   }
 
-  pub(super) fn welcomed(&mut self, link: LinkId, floor: Version, is_relay: bool, relays: Relays) {
+  pub(super) fn welcome_received(
+    &mut self,
+    link: LinkId,
+    floor: Version,
+    is_relay: bool,
+    relays: Relays,
+  ) {
     let Some(known) = self.links.get_mut(&link) else {
       return;
     };
     known.is_relay = is_relay;
     let peer = known.peer.clone();
-    self.floor_heard(peer.clone(), floor);
+    self.floor_received(peer.clone(), floor);
     self.learn_relays(relays);
     if !self.upstream.is_asking(link) {
       return;
--- a/src/distribution/distributor/relaying.rs
+++ b/src/distribution/distributor/relay_list.rs
@@ -27,12 +27,12 @@
       .collect();
     for peer in known {
       self.announcing.insert(peer.box_id.clone());
-      self.act(Action::OpenLink(peer));
+      self.push_action(Action::OpenLink(peer));
     }
   }
 
   /// Handles the announcement of a relay; ignored by a box that a relay serves.
-  fn relay_announced(&mut self, link: LinkId, relays: Relays) {
+  fn relay_announcement_received(&mut self, link: LinkId, relays: Relays) {
     if !self.is_served_by_relay() {
       self.learn_relays(relays);
       self.upstream.encouraged(self.now.time, &mut self.rng);
@@ -42,19 +42,20 @@
 
   pub(super) fn relays_received(&mut self, link: LinkId, relays: Relays) {
     if self.links.get(&link).is_some_and(|known| known.role == LinkRole::Pending) {
-      self.relay_announced(link, relays);
+      self.relay_announcement_received(link, relays);
       return;
     }
     if self.upstream.link() != Some(link) {
       return;
     }
     self.learn_relays(relays);
-    self.tell_relays();
+    self.send_relays();
   }
 
   /// Sends the list of relays to the subscribers.
-  pub(super) fn tell_relays(&mut self) {
-    let links: Vec<LinkId> = self.settled_links(LinkRole::Downstream).map(|(id, _)| id).collect();
+  pub(super) fn send_relays(&mut self) {
+    let links: Vec<LinkId> =
+      self.established_links(LinkRole::Downstream).map(|(id, _)| id).collect();
     for link in links {
       self.send(link, Message::Relays(self.relays.clone()));
     }
--- a/src/distribution/distributor/status.rs
+++ b/src/distribution/distributor/status.rs
@@ -41,8 +41,8 @@
   pub fn status(&self) -> Status {
     let upstream = self.upstream.link().and_then(|link| self.links.get(&link));
     Status {
-      downstream: self.settled_links(LinkRole::Downstream).count(),
-      mesh: self.settled_links(LinkRole::Mesh).count(),
+      downstream: self.established_links(LinkRole::Downstream).count(),
+      mesh: self.established_links(LinkRole::Mesh).count(),
       relays: self.relays.clone(),
       slot: self.election.held().map(ToString::to_string),
       store_age_ms: self.store_age_ms(),
--- a/src/distribution/distributor/storing.rs
+++ b/src/distribution/distributor/store_watch.rs
@@ -10,7 +10,7 @@
       self.own.state != EndpointState::Leaving && (has_room || !self.is_served_by_relay());
     let call = self.next_call();
     let step = self.election.tick(self.now.time, vacant, call, &hall, &mut self.rng);
-    self.election_steps(step.into_iter().collect());
+    self.apply_election_steps(step.into_iter().collect());
   }
 
   /// Whether this daemon is a relay, or subscribes to a daemon that reports to be one. The list of
@@ -28,13 +28,13 @@
     }
   }
 
-  fn election_steps(&mut self, steps: Vec<Step>) {
+  fn apply_election_steps(&mut self, steps: Vec<Step>) {
     for step in steps {
       match step {
         Step::Call(request) => self.call_store(request),
-        Step::Lost(slot) => self.step_down(&slot),
+        Step::Lost(slot) => self.resign_relay(&slot),
         Step::Seen(entries) => self.relays_listed(&entries),
-        Step::Won(slot) => self.step_up(slot),
+        Step::Won(slot) => self.become_relay(slot),
       }
     }
   }
@@ -54,7 +54,7 @@
     }
   }
 
-  fn step_up(&mut self, slot: RelaySlot) {
+  fn become_relay(&mut self, slot: RelaySlot) {
     self.log(format!("this box holds relay slot {slot}"));
     let former = self.upstream.link();
     self.relays.set(slot, Some(self.own.peer.clone()));
@@ -65,16 +65,16 @@
       self.subscribe(link);
     }
     self.announce();
-    self.tell_relays();
+    self.send_relays();
     self.announce_relay();
   }
 
-  pub(super) fn step_down(&mut self, slot: &RelaySlot) {
+  pub(super) fn resign_relay(&mut self, slot: &RelaySlot) {
     self.log(format!("this box no longer holds relay slot {slot}"));
     self.watcher.rest();
     self.relays.set(slot.clone(), None);
     self.redirect_subscribers();
-    let mesh: Vec<LinkId> = self.settled_links(LinkRole::Mesh).map(|(id, _)| id).collect();
+    let mesh: Vec<LinkId> = self.established_links(LinkRole::Mesh).map(|(id, _)| id).collect();
     for link in mesh {
       self.close_link(link);
     }
@@ -92,7 +92,7 @@
 
   /// Handles that the store has a newer version. A relay reads it, because its watch may have
   /// skipped the change. A subscriber passes it on to its relay.
-  pub(super) fn accepted(&mut self, version: Version, from: Option<LinkId>) {
+  pub(super) fn newer_version_accepted(&mut self, version: Version, from: Option<LinkId>) {
     if self.catalog.version() >= Some(version) {
       return;
     }
@@ -113,7 +113,7 @@
     let hall = self.hall();
     let steps = self.election.answered(self.now.time, call, result, next_call, &hall);
     if let Some(steps) = steps {
-      self.election_steps(steps);
+      self.apply_election_steps(steps);
       return;
     }
     let answered = self.watcher.answered(self.now.time, call, result, next_call, &mut self.rng);
@@ -121,11 +121,11 @@
       if let Some(request) = request {
         self.call_store(request);
       }
-      self.store_seen(seen);
+      self.watch_result_received(seen);
     }
   }
 
-  fn store_seen(&mut self, seen: Seen) {
+  fn watch_result_received(&mut self, seen: Seen) {
     if seen.listed {
       self.relays = Relays::default();
     }
@@ -134,24 +134,24 @@
       self.relays.set(slot, peer);
     }
     if relays_changed {
-      self.tell_relays();
+      self.send_relays();
     }
     if let Some(configuration) = seen.snapshot {
-      self.snapshot_read(configuration);
+      self.snapshot_received(configuration);
     }
     if seen.listed || seen.head {
-      self.take_head();
+      self.apply_head();
     }
     if seen.confirmed {
       let newest = self.watcher.head().map_or(Version(0), |head| head.version);
-      self.note_store_version(newest);
+      self.check_store_version(newest);
       self.confirm(newest, 0);
     }
   }
 
   /// Records whether the store is behind this box: it was restored from a backup or lost its
   /// content.
-  fn note_store_version(&mut self, newest: Version) {
+  fn check_store_version(&mut self, newest: Version) {
     let behind = self.catalog.version().is_some_and(|held| newest < held).then_some(newest);
     if behind.is_some() && behind != self.store_behind {
       self.log(format!("the store's newest version {newest} is behind this box"));
@@ -161,20 +161,20 @@
 
   /// Applies the store's newest version: by the changes since the held version if the head has all
   /// of them, else by the snapshot.
-  pub(super) fn take_head(&mut self) {
+  pub(super) fn apply_head(&mut self) {
     let is_fresh = self.catalog.version().is_none();
     if !self.is_relay_that_listed() || (is_fresh && !self.is_floor_known()) {
       return;
     }
     let Some(head) = self.watcher.head().cloned() else {
-      self.take_genesis();
+      self.apply_empty_configuration();
       return;
     };
     let held = self.catalog.version();
     if held.is_some_and(|held| held >= head.version) {
       return;
     }
-    let Some(base) = held.filter(|held| reaches(&head, *held)) else {
+    let Some(base) = held.filter(|held| contains_changes_since(&head, *held)) else {
       self.read_snapshot();
       return;
     };
@@ -182,7 +182,7 @@
       return;
     };
     let changes = head.tail.into_iter().filter(|change| change.version() > base).collect();
-    if !self.take_from_store(Update::Delta { base, base_digest, changes }) {
+    if !self.apply_store_update(Update::Delta { base, base_digest, changes }) {
       // The held version may differ from the store's version of that number. The snapshot repairs
       // that.
       self.read_snapshot();
@@ -195,17 +195,17 @@
   }
 
   /// Applies the empty configuration, which a store without any version stands for.
-  fn take_genesis(&mut self) {
+  fn apply_empty_configuration(&mut self) {
     if self.catalog.version().is_some() {
       return;
     }
     let configuration = Arc::new(Configuration::default());
     let digest = configuration.digest();
     let (changes, history) = (Vec::new(), Vec::new());
-    self.take_from_store(Update::Snapshot { changes, configuration, digest, history });
+    self.apply_store_update(Update::Snapshot { changes, configuration, digest, history });
   }
 
-  fn snapshot_read(&mut self, configuration: Configuration) {
+  fn snapshot_received(&mut self, configuration: Configuration) {
     let Some(head) = self.watcher.head().cloned() else {
       return;
     };
@@ -214,9 +214,9 @@
     if configuration.version != head.snapshot_version || !newer {
       return;
     }
-    let is_before = |summary: &&Summary| summary.version <= head.snapshot_version;
-    self.take_from_store(Update::Snapshot {
-      changes: head.since_snapshot().cloned().collect(),
+    let is_before = |summary: &&ChangeSummary| summary.version <= head.snapshot_version;
+    self.apply_store_update(Update::Snapshot {
+      changes: head.changes_since_snapshot().cloned().collect(),
       configuration: Arc::new(configuration),
       digest: head.snapshot_digest,
       history: head.history.iter().filter(is_before).cloned().collect(),
@@ -231,10 +231,10 @@
   }
 
   /// Applies an update from the store. Returns whether it was valid.
-  fn take_from_store(&mut self, update: Update) -> bool {
+  fn apply_store_update(&mut self, update: Update) -> bool {
     match self.catalog.take(update, None, self.now.unix_ms) {
       Ok(()) => {
-        self.switched();
+        self.version_applied();
         true
       }
       Err(err) => {
@@ -246,7 +246,7 @@
 }
 
 /// Whether the head contains all changes after `base`.
-fn reaches(head: &Head, base: Version) -> bool {
+fn contains_changes_since(head: &Head, base: Version) -> bool {
   match head.tail.first() {
     Some(first) => base.next() >= first.version(),
     None => base >= head.snapshot_version,
--- a/src/distribution/distributor/pushing.rs
+++ b/src/distribution/distributor/updates.rs
@@ -6,10 +6,10 @@
   /// them.
   const MESH_PUSH_DELAY_MS: u64 = 300;
   /// Invalid updates on one link after which another daemon is subscribed to.
-  const REFUSALS_MAX: u32 = 2;
+  const INVALID_UPDATES_MAX: u32 = 2;
 
-  fn beat(&self) -> Beat {
-    let is_new = self.now.time.since_ms(self.switched_at) < 2 * self.identity.timing.beat_ms;
+  fn heartbeat(&self) -> Beat {
+    let is_new = self.now.time.since_ms(self.applied_at) < 2 * self.identity.timing.beat_ms;
     Beat {
       applied_unix_ms: is_new.then(|| self.applied_unix_ms()),
       endpoints: self.endpoints.fingerprint(),
@@ -26,8 +26,8 @@
     self.confirmed_at.map(|at| self.now.time.since_ms(at))
   }
 
-  pub(super) fn send_beats(&mut self, to: impl Fn(&Link) -> bool) {
-    let beat = self.beat();
+  pub(super) fn send_heartbeats(&mut self, to: impl Fn(&Link) -> bool) {
+    let heartbeat = self.heartbeat();
     let links: Vec<LinkId> = self
       .links
       .iter()
@@ -35,25 +35,25 @@
       .map(|(id, _)| *id)
       .collect();
     for link in links {
-      self.send(link, Message::Beat(beat.clone()));
+      self.send(link, Message::Beat(heartbeat.clone()));
     }
   }
 
-  pub(super) fn beat_received(&mut self, link: LinkId, beat: &Beat) {
-    self.note_version(link, beat.version);
+  pub(super) fn heartbeat_received(&mut self, link: LinkId, heartbeat: &Beat) {
+    self.record_version(link, heartbeat.version);
     let Some(known) = self.links.get_mut(&link) else {
       return;
     };
-    known.applied_unix_ms = beat.applied_unix_ms.unwrap_or(known.applied_unix_ms);
-    known.is_relay = beat.is_relay;
-    known.store_age_ms = beat.store_age_ms;
+    known.applied_unix_ms = heartbeat.applied_unix_ms.unwrap_or(known.applied_unix_ms);
+    known.is_relay = heartbeat.is_relay;
+    known.store_age_ms = heartbeat.store_age_ms;
     let role = known.role;
     let peer = known.peer.clone();
     if self.upstream.link() == Some(link) {
       self.upstream.progressed();
     }
-    self.compare_endpoints(link, beat.endpoints);
-    let Some((version, prefix)) = beat.version else {
+    self.compare_endpoints(link, heartbeat.endpoints);
+    let Some((version, prefix)) = heartbeat.version else {
       return;
     };
     if self.catalog.held().is_some_and(|held| held.0 == version && held.1 != prefix) {
@@ -61,7 +61,7 @@
       return;
     }
     let is_source = matches!(role, LinkRole::Mesh | LinkRole::Upstream);
-    if let Some(age_ms) = beat.store_age_ms.filter(|_| is_source) {
+    if let Some(age_ms) = heartbeat.store_age_ms.filter(|_| is_source) {
       self.confirm(version, age_ms);
     }
   }
@@ -75,29 +75,29 @@
     self.confirmed_at = self.confirmed_at.max(Some(at));
   }
 
-  pub(super) fn note_version(&mut self, link: LinkId, version: Option<(Version, u32)>) {
+  pub(super) fn record_version(&mut self, link: LinkId, version: Option<(Version, u32)>) {
     let Some(known) = self.links.get_mut(&link) else {
       return;
     };
     known.version = version;
     if let Some((version, _)) = version {
       known.refusal = known.refusal.take().filter(|_| Some(version) < self.catalog.version());
-      let record = self.records.entry(known.peer.clone()).or_default();
+      let record = self.known_versions.entry(known.peer.clone()).or_default();
       *record = version.max(*record);
     }
   }
 
-  pub(super) fn note_applied(&mut self, link: LinkId, unix_ms: u64) {
+  pub(super) fn record_applied(&mut self, link: LinkId, unix_ms: u64) {
     if let Some(link) = self.links.get_mut(&link) {
       link.applied_unix_ms = unix_ms;
     }
   }
 
   /// Unpacks and handles an update from a neighbour.
-  pub(super) fn packed_received(&mut self, link: LinkId, packed: &PackedUpdate) {
+  pub(super) fn packed_update_received(&mut self, link: LinkId, packed: &PackedUpdate) {
     match packed.unpack() {
       Ok(update) => self.update_received(link, update),
-      Err(err) => self.refuse(link, &err),
+      Err(err) => self.reject_update(link, &err),
     }
   }
 
@@ -105,9 +105,9 @@
   pub(super) fn update_received(&mut self, link: LinkId, update: Update) {
     let fresh = self.catalog.version().is_none();
     if fresh && !self.is_floor_known() {
-      let early = self.floor.early.as_ref().map(|(_, early)| early.version());
+      let early = self.floor_discovery.deferred_update.as_ref().map(|(_, early)| early.version());
       if early.is_none_or(|early| update.version() > early) {
-        self.floor.early = Some((link, update));
+        self.floor_discovery.deferred_update = Some((link, update));
       }
       return;
     }
@@ -115,22 +115,22 @@
     match self.catalog.take(update, from, self.now.unix_ms) {
       Ok(()) => {
         // The sender holds this version: do not send it back.
-        self.note_version(link, self.catalog.held());
-        self.switched();
+        self.record_version(link, self.catalog.held());
+        self.version_applied();
       }
       Err(Error::Backwards { .. }) => {}
-      Err(err) => self.refuse(link, &err),
+      Err(err) => self.reject_update(link, &err),
     }
   }
 
   /// Rejects an invalid update and reports it to the sender. Leaves the sender if that repeats.
-  fn refuse(&mut self, link: LinkId, err: &Error) {
+  fn reject_update(&mut self, link: LinkId, err: &Error) {
     self.log(format!("an update was refused: {err}"));
     let Some(known) = self.links.get_mut(&link) else {
       return;
     };
     known.unsound += 1;
-    if known.unsound >= Self::REFUSALS_MAX && self.upstream.link() == Some(link) {
+    if known.unsound >= Self::INVALID_UPDATES_MAX && self.upstream.link() == Some(link) {
       self.drop_upstream();
       return;
     }
@@ -138,15 +138,15 @@
   }
 
   /// Sends a snapshot to a neighbour that refused an update, at most once per resend interval.
-  pub(super) fn update_refused(&mut self, link: LinkId, reason: String) {
+  pub(super) fn refusal_received(&mut self, link: LinkId, reason: String) {
     let resend_ms = self.resend_ms();
     let now = self.now.time;
     let Some(known) = self.links.get_mut(&link) else {
       return;
     };
     known.refusal = Some(reason);
-    let rested = known.whole_sent_at.is_none_or(|at| now.since_ms(at) >= resend_ms);
-    let Some(update) = self.catalog.packed_for(None).filter(|_| rested) else {
+    let is_due = known.whole_sent_at.is_none_or(|at| now.since_ms(at) >= resend_ms);
+    let Some(update) = self.catalog.packed_for(None).filter(|_| is_due) else {
       return;
     };
     known.whole_sent_at = Some(now);
@@ -156,14 +156,14 @@
 
   /// Handles a newly applied version: sends heartbeats upstream and schedules updates to
   /// neighbours.
-  pub(super) fn switched(&mut self) {
+  pub(super) fn version_applied(&mut self) {
     let Some(configuration) = self.catalog.configuration().cloned() else {
       return;
     };
-    self.act(Action::Apply(configuration));
-    self.switched_at = self.now.time;
+    self.push_action(Action::Apply(configuration));
+    self.applied_at = self.now.time;
     self.push_due = Some(self.now.time.after(self.identity.timing.push_delay_ms));
-    self.send_beats(|link| link.role != LinkRole::Downstream);
+    self.send_heartbeats(|link| link.role != LinkRole::Downstream);
     if self.identity.timing.push_delay_ms == 0 {
       self.push_updates();
     }
@@ -177,8 +177,7 @@
     let Some(version) = self.catalog.version() else {
       return;
     };
-    let switched_at = self.push_due.take();
-    if switched_at.is_some() {
+    if self.push_due.take().is_some() {
       self.mesh_push_at = self.now.time.after(Self::MESH_PUSH_DELAY_MS);
     }
     let resend_ms = self.resend_ms();
--- a/src/distribution/error.rs
+++ b/src/distribution/error.rs
@@ -37,7 +37,7 @@
     held: Option<Version>,
   },
   /// A source holds something that is not a configuration.
-  Unreadable(Unreadable),
+  Unreadable(ParseError),
   /// The directory holds something that is no entry of a box.
   UnreadableEntry(UnreadableEntry),
 }
--- a/src/distribution/follower/store_watch.rs
+++ b/src/distribution/follower/store_watch.rs
@@ -306,7 +306,7 @@
     }
     match entry.value.text() {
       Ok(text) => self.take_configuration(text),
-      Err(reason) => self.refuse_unreadable(Unreadable::unknown_version(reason)),
+      Err(reason) => self.refuse_unreadable(ParseError::unknown_version(reason)),
     }
   }
 
@@ -327,8 +327,8 @@
     }
   }
 
-  fn refuse_unreadable(&mut self, unreadable: Unreadable) {
-    let Unreadable { reason, version } = unreadable.clone();
+  fn refuse_unreadable(&mut self, unreadable: ParseError) {
+    let ParseError { reason, version } = unreadable.clone();
     self.catalog.note_refusal(self.now.unix_ms, Error::Unreadable(unreadable));
     self.refuse(reason, version);
   }
--- a/src/distribution/mod.rs
+++ b/src/distribution/mod.rs
@@ -8,7 +8,7 @@
 
 use crate::{
   configuration::{
-    AcceptedChange, Change, Configuration, Head, Patch, Source, Summary, Unreadable,
+    AcceptedChange, Change, Configuration, Head, Patch, Source, ChangeSummary, ParseError,
   },
   fleet::{Endpoint, EndpointState, EndpointTable, Peer, RunFinding, RunOutcome},
   requests::RequestRecord,
--- a/src/distribution/update.rs
+++ b/src/distribution/update.rs
@@ -24,7 +24,7 @@
     /// Its digest.
     digest: Digest,
     /// The last changes that led to it, oldest first.
-    history: Vec<Summary>,
+    history: Vec<ChangeSummary>,
   },
 }
 
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -8,7 +8,7 @@
 use crate::{
   configuration::{
     CallerLimits, ColdStart, Configuration, Handling, Organisation, Patch, Policy, RateLimit,
-    Revised, Route, Service, Source, Unreadable, WeightedService,
+    Revised, Route, Service, Source, ParseError, WeightedService,
   },
   fleet::{BackendReport, Process, ReportOutcome},
   node::{Dialect, Node},
--- a/src/platform/operator_source.rs
+++ b/src/platform/operator_source.rs
@@ -141,9 +141,9 @@
     Ok(Order { duration_ms, service, target })
   }
 
-  fn read(&self, value: &str) -> Result<Configuration, Unreadable> {
+  fn read(&self, value: &str) -> Result<Configuration, ParseError> {
     let read = serde_json::from_str(value).map_err(|err| err.to_string());
-    read.and_then(translate).map_err(|reason| Unreadable { reason, version: version_of(value) })
+    read.and_then(translate).map_err(|reason| ParseError { reason, version: version_of(value) })
   }
 }
 
@@ -175,7 +175,7 @@
   let policy: PolicyName = OPERATORS.parse().expect("a name");
   // Each route brings its own attempts and timeout, so the policy holds only what routes lack.
   let value = Policy { attempts: 1, deadline_ms: 30_000, owner: owner.clone(), queue_length: 256 };
-  next.policies.insert(policy.clone(), Revised { revision: Patch::REVISION, value });
+  next.policies.insert(policy.clone(), Revised { revision: Patch::SOURCE_REVISION, value });
   for service in read.services {
     let cold_rate = Rate::per_s(service.cold_per_s).filter(|rate| !rate.is_zero());
     let cold_start = cold_rate
@@ -187,17 +187,17 @@
       owner: owner.clone(),
       policy: policy.clone(),
     };
-    next.services.insert(service.name, Revised { revision: Patch::REVISION, value });
+    next.services.insert(service.name, Revised { revision: Patch::SOURCE_REVISION, value });
   }
   for tenant in read.tenants {
     let name = tenant.name.clone();
     let value = translate_tenant(tenant, owner.clone());
-    next.organisations.insert(name, Revised { revision: Patch::REVISION, value });
+    next.organisations.insert(name, Revised { revision: Patch::SOURCE_REVISION, value });
   }
   for route in read.routes {
     let name = route.name.clone();
     let value = translate_route(route, owner.clone())?;
-    next.routes.insert(name, Revised { revision: Patch::REVISION, value });
+    next.routes.insert(name, Revised { revision: Patch::SOURCE_REVISION, value });
   }
   Ok(next)
 }
--- a/src/requests/router.rs
+++ b/src/requests/router.rs
@@ -34,7 +34,7 @@
     headers: &HeaderMap,
   ) -> Option<RouteMatch> {
     let takes = |route: &Route| {
-      route.covers_path(path)
+      route.matches_path(path)
         && route.method.as_ref().is_none_or(|wanted| wanted == method.as_str())
         && route.host.as_deref().is_none_or(|wanted| host == Some(wanted))
         && route.headers.iter().all(|(name, value)| {
--- a/tests/crowds.rs
+++ b/tests/crowds.rs
@@ -24,7 +24,7 @@
 /// the busiest other box passed on to its proxies, and the number of messages on all links.
 fn burst(changing: usize) -> (usize, usize) {
   let mut fleet = Followers::at_rest(BOXES);
-  fleet.times_told.clear();
+  fleet.endpoint_notifications.clear();
   fleet.news_messages = 0;
   for index in 0..changing {
     fleet.change_state(index, EndpointState::Draining);
@@ -34,8 +34,8 @@
   }
   fleet.run(2_000);
   let all = |fleet: &Followers, from| (0..changing).all(|to| !fleet.sees_live(from, to));
-  assert_eq!(fleet.lacking(BOXES, all), NOBODY, "{:#?}", fleet.logged);
-  let others = (changing..BOXES).map(|index| fleet.times_told[&Followers::box_id(index)]);
+  assert_eq!(fleet.boxes_failing(BOXES, all), NOBODY, "{:#?}", fleet.logged);
+  let others = (changing..BOXES).map(|index| fleet.endpoint_notifications[&Followers::box_id(index)]);
   (others.max().expect("some"), fleet.news_messages)
 }
 
@@ -54,7 +54,7 @@
   let mut fleet = Followers::at_rest(BOXES);
   fleet.stop(7);
   fleet.run(7_000);
-  let seen = fleet.lacking(BOXES, |fleet, index| !fleet.sees_live(index, 7));
+  let seen = fleet.boxes_failing(BOXES, |fleet, index| !fleet.sees_live(index, 7));
   assert_eq!(seen, NOBODY, "{:#?}", fleet.logged);
 }
 
@@ -62,11 +62,11 @@
 #[test]
 fn a_live_box_is_back_once_it_learns_that_it_is_considered_lost() {
   let mut fleet = Followers::at_rest(BOXES);
-  fleet.frozen.insert(Followers::box_id(7));
+  fleet.paused.insert(Followers::box_id(7));
   fleet.run(8_000);
-  fleet.frozen.clear();
+  fleet.paused.clear();
   fleet.run(3_000);
-  let lacks = fleet.lacking(BOXES, |fleet, index| fleet.sees_live(index, 7));
+  let lacks = fleet.boxes_failing(BOXES, |fleet, index| fleet.sees_live(index, 7));
   assert_eq!(lacks, NOBODY, "{:#?}", fleet.logged);
 }
 
@@ -75,9 +75,9 @@
 fn a_box_that_is_cut_off_declares_no_box_lost() {
   let mut fleet = Followers::at_rest(4);
   for index in 1..4 {
-    fleet.frozen.insert(Followers::box_id(index));
+    fleet.paused.insert(Followers::box_id(index));
   }
-  fleet.unserved.insert(Followers::box_id(0));
+  fleet.rejected_boxes.insert(Followers::box_id(0));
   fleet.run(12_000);
   let lost = (1..4).filter(|to| !fleet.sees_live(0, *to)).collect::<Vec<usize>>();
   assert_eq!(lost, NOBODY, "{:#?}", fleet.logged);
--- a/tests/distribution_fuzz.rs
+++ b/tests/distribution_fuzz.rs
@@ -44,7 +44,7 @@
 fn change(u: &mut Unstructured, world: &mut World) -> Result<()> {
   let index = u.choose_index(world.boxes.len())?;
   let operations = operations(u)?;
-  world.state_change(index, operations);
+  world.submit_change(index, operations);
   Ok(())
 }
 
@@ -54,7 +54,7 @@
   let mut world = World::new(boxes, data_halls, u.arbitrary()?);
   world.run_until(u.int_in_range(0..=6_000)?);
   let first = vec![put_policy(), put_service(0), put_service(1), put_route(0, 0)];
-  world.state_change(0, first);
+  world.submit_change(0, first);
   Ok(world)
 }
 
@@ -64,7 +64,7 @@
   match u.int_in_range(0..=20)? {
     0 | 1 => world.crash(index, u.arbitrary()?),
     2 | 3 => world.start(index),
-    4 => world.freeze(index, u.int_in_range(100..=9_000)?),
+    4 => world.pause(index, u.int_in_range(100..=9_000)?),
     5 => world.cut_link(u.int_in_range(0..=50)?),
     6 => world.faults.blocked.push((index, other)),
     7 => world.faults.blocked.clear(),
@@ -80,8 +80,8 @@
     17 => world.faults.store_cut.push(index),
     18 => world.faults.store_cut.clear(),
     19 => {
-      if let Some(update) = world.bent_delta(index) {
-        world.forge(index, Message::Update(PackedUpdate::pack(&update)));
+      if let Some(update) = world.forged_delta(index) {
+        world.inject_message(index, Message::Update(PackedUpdate::pack(&update)));
       }
     }
     14 => world.set_state(index, EndpointState::Draining),
@@ -92,8 +92,8 @@
       world.crash(index, false);
     }
     _ => {
-      if let Some(update) = world.bent_update(other) {
-        world.forge(index, Message::Update(PackedUpdate::pack(&update)));
+      if let Some(update) = world.forged_snapshot(other) {
+        world.inject_message(index, Message::Update(PackedUpdate::pack(&update)));
       }
     }
   }
--- a/tests/distribution_memory.rs
+++ b/tests/distribution_memory.rs
@@ -22,7 +22,7 @@
 fn settled(boxes: usize) -> World {
   let mut world = World::new(boxes, 1, 3);
   world.run_until(SETTLE_MS / 2);
-  world.state_change(0, vec![put_policy(), put_service(0)]);
+  world.submit_change(0, vec![put_policy(), put_service(0)]);
   world.run_until(SETTLE_MS);
   world.check_converged();
   assert_eq!(version_of(&world, 0), Some(Version(1)));
@@ -38,7 +38,7 @@
     world.faults.blocked.extend([(one, 3), (one, 4)]);
   }
   world.faults.store_cut = vec![3, 4];
-  world.state_change(0, vec![put_route(0, 0)]);
+  world.submit_change(0, vec![put_route(0, 0)]);
   world.run_until(world.now + SETTLE_MS);
   assert_eq!(version_of(&world, 2), Some(Version(2)));
   assert_eq!(version_of(&world, 3), Some(Version(1)));
@@ -95,7 +95,7 @@
 fn a_store_restored_to_an_older_state_moves_nobody_back() {
   let mut world = settled(5);
   let saved = world.keyspace.clone();
-  world.state_change(1, vec![put_route(0, 0)]);
+  world.submit_change(1, vec![put_route(0, 0)]);
   world.run_until(world.now + SETTLE_MS);
   assert_eq!(version_of(&world, 4), Some(Version(2)));
   world.keyspace = saved;
@@ -116,7 +116,7 @@
 fn a_change_on_a_store_that_is_behind_is_refused() {
   let mut world = settled(4);
   let saved = world.keyspace.clone();
-  world.state_change(1, vec![put_route(0, 0)]);
+  world.submit_change(1, vec![put_route(0, 0)]);
   world.run_until(world.now + SETTLE_MS);
   world.keyspace = saved;
   let head = StoreRequest::Read { key: keys::head() };
@@ -125,7 +125,7 @@
     other => panic!("{other:?}"),
   };
   let before = read(&mut world);
-  world.state_change(2, vec![put_route(1, 0)]);
+  world.submit_change(2, vec![put_route(1, 0)]);
   world.run_until(world.now + 100);
   assert_eq!(world.oracle.newest(), Version(2));
   world.oracle.check_history();
--- a/tests/distribution_rest.rs
+++ b/tests/distribution_rest.rs
@@ -13,7 +13,7 @@
 fn settled(boxes: usize, data_halls: usize) -> World {
   let mut world = World::new(boxes, data_halls, 7);
   world.run_until(SETTLE_MS / 2);
-  world.state_change(0, vec![put_policy(), put_service(0)]);
+  world.submit_change(0, vec![put_policy(), put_service(0)]);
   world.run_until(SETTLE_MS);
   world.check_converged();
   world
@@ -34,7 +34,7 @@
 fn a_change_is_sent_once_to_each_subscriber() {
   let mut world = settled(40, 2);
   let before = world.news_sent;
-  world.state_change(5, vec![put_service(1)]);
+  world.submit_change(5, vec![put_service(1)]);
   world.run_until(SETTLE_MS + WATCH_MS / 6);
   world.check_converged();
   let subscribers = world.boxes.len() - world.relays();
@@ -72,13 +72,13 @@
   let mut world = World::new(740, 6, 13);
   world.region_delay_ms = 40;
   world.run_until(SETTLE_MS / 2);
-  world.state_change(0, vec![put_policy(), put_service(0)]);
+  world.submit_change(0, vec![put_policy(), put_service(0)]);
   world.run_until(SETTLE_MS);
   world.check_converged();
   assert_eq!(world.relays(), 24);
   for (change, index) in [3, 404, 739].into_iter().enumerate() {
     let stated_at = world.now;
-    world.state_change(index, vec![put_service(1 + u8::try_from(change).expect("few"))]);
+    world.submit_change(index, vec![put_service(1 + u8::try_from(change).expect("few"))]);
     world.run_until(stated_at + LIMIT_MS);
     world.check_converged();
   }
--- a/tests/evacuations.rs
+++ b/tests/evacuations.rs
@@ -26,7 +26,7 @@
 /// Returns the boxes whose set of evacuated data halls is not exactly this one.
 fn disagreeing(fleet: &Followers, halls: &[u64]) -> Vec<usize> {
   let wanted: BTreeSet<DataHall> = halls.iter().copied().map(hall).collect();
-  fleet.lacking(BOXES, |fleet, index| fleet.evacuated(index) == wanted)
+  fleet.boxes_failing(BOXES, |fleet, index| fleet.evacuated(index) == wanted)
 }
 
 #[test]
@@ -60,7 +60,7 @@
 #[test]
 fn boxes_without_the_store_learn_of_it_too() {
   let mut fleet = Followers::at_rest(BOXES);
-  fleet.unserved.extend((0..4).map(Followers::box_id));
+  fleet.rejected_boxes.extend((0..4).map(Followers::box_id));
   fleet.run(1_500);
   fleet.write_item(&["op", "evacuate", "hall-2"], "{}".into());
   fleet.run(1_500);
@@ -76,12 +76,12 @@
   let mut fleet = Followers::at_rest(BOXES);
   fleet.write_item(&["op", "evacuate", "hall-1"], "{}".into());
   fleet.run(500);
-  fleet.unserved.extend((0..BOXES).map(Followers::box_id));
+  fleet.rejected_boxes.extend((0..BOXES).map(Followers::box_id));
   fleet.run(500);
   fleet.remove_item(&["op", "evacuate", "hall-1"]);
   fleet.forget_history();
   fleet.run(500);
-  fleet.unserved.clear();
+  fleet.rejected_boxes.clear();
   fleet.run(4_000);
   assert_eq!(disagreeing(&fleet, &[]), NOBODY, "{:#?}", fleet.logged);
 }
--- a/tests/followers.rs
+++ b/tests/followers.rs
@@ -34,13 +34,13 @@
   }
   fleet.run(2_000);
   assert_eq!(all_live(&fleet), NOBODY);
-  assert_eq!(fleet.lacking(BOXES, |fleet, index| fleet.version(index) == Some(1)), NOBODY);
+  assert_eq!(fleet.boxes_failing(BOXES, |fleet, index| fleet.version(index) == Some(1)), NOBODY);
   fleet
 }
 
 /// Returns the boxes that do not consider every other box live.
 fn all_live(fleet: &Followers) -> Vec<usize> {
-  fleet.lacking(BOXES, |fleet, from| (0..BOXES).all(|to| fleet.sees_live(from, to)))
+  fleet.boxes_failing(BOXES, |fleet, from| (0..BOXES).all(|to| fleet.sees_live(from, to)))
 }
 
 #[test]
@@ -53,7 +53,7 @@
     fleet.run(20);
   }
   fleet.run(400);
-  assert_eq!(fleet.lacking(BOXES, |fleet, index| fleet.version(index) == Some(6)), NOBODY);
+  assert_eq!(fleet.boxes_failing(BOXES, |fleet, index| fleet.version(index) == Some(6)), NOBODY);
   let calls = (fleet.store_tenths - before) / 10;
   assert!(calls <= 4 * BOXES as u64, "{calls} calls for five changes in quick succession");
 }
@@ -74,7 +74,7 @@
   fleet.run(3_000);
   fleet.write_version(22);
   fleet.run(500);
-  assert_eq!(fleet.lacking(BOXES, |fleet, index| fleet.version(index) == Some(22)), NOBODY);
+  assert_eq!(fleet.boxes_failing(BOXES, |fleet, index| fleet.version(index) == Some(22)), NOBODY);
   let read = fleet.watched_configurations - before;
   assert!(read <= BOXES, "{read} configurations were read for one change");
 }
@@ -82,23 +82,23 @@
 #[test]
 fn boxes_that_the_store_rejects_get_changes_from_neighbours() {
   let mut fleet = fleet();
-  fleet.unserved.extend((0..3).map(Followers::box_id));
+  fleet.rejected_boxes.extend((0..3).map(Followers::box_id));
   fleet.run(1_500);
   fleet.write_version(2);
   fleet.change_state(5, EndpointState::Draining);
   fleet.run(1_500);
-  assert_eq!(fleet.lacking(BOXES, |fleet, index| fleet.version(index) == Some(2)), NOBODY);
+  assert_eq!(fleet.boxes_failing(BOXES, |fleet, index| fleet.version(index) == Some(2)), NOBODY);
   fleet.run(DIRECTORY_MS);
-  assert_eq!(fleet.lacking(BOXES, |fleet, index| !fleet.sees_live(index, 5)), NOBODY);
+  assert_eq!(fleet.boxes_failing(BOXES, |fleet, index| !fleet.sees_live(index, 5)), NOBODY);
 }
 
 #[test]
 fn neighbours_keep_the_entry_of_a_live_box_that_the_store_rejects() {
   let mut fleet = fleet();
-  fleet.unserved.insert(Followers::box_id(0));
+  fleet.rejected_boxes.insert(Followers::box_id(0));
   fleet.run(15_000);
   assert_eq!(all_live(&fleet), NOBODY, "its own lease expired long ago");
-  fleet.unserved.clear();
+  fleet.rejected_boxes.clear();
   fleet.run(4_000);
   assert_eq!(all_live(&fleet), NOBODY);
 }
@@ -108,17 +108,17 @@
   let mut fleet = fleet();
   fleet.stop(4);
   fleet.run(4_000 + 2_500 + 2 * DIRECTORY_MS);
-  assert_eq!(fleet.lacking(BOXES, |fleet, index| !fleet.sees_live(index, 4)), NOBODY);
+  assert_eq!(fleet.boxes_failing(BOXES, |fleet, index| !fleet.sees_live(index, 4)), NOBODY);
 }
 
 #[test]
 fn entries_that_lapsed_in_an_outage_are_back_within_two_seconds() {
   let mut fleet = fleet();
-  fleet.unserved.extend((0..BOXES).map(Followers::box_id));
+  fleet.rejected_boxes.extend((0..BOXES).map(Followers::box_id));
   fleet.lapse_leases();
   fleet.run(7_000);
   assert_eq!(all_live(&fleet), NOBODY, "an outage of the store must not make boxes lost");
-  fleet.unserved.clear();
+  fleet.rejected_boxes.clear();
   for _ in 0..20 {
     fleet.run(200);
     assert_eq!(all_live(&fleet), NOBODY, "at {}", fleet.now);
@@ -135,7 +135,7 @@
   assert_eq!(all_live(&fleet), NOBODY);
   fleet.change_state(3, EndpointState::Draining);
   fleet.run(DIRECTORY_MS);
-  assert_eq!(fleet.lacking(BOXES, |fleet, index| !fleet.sees_live(index, 3)), NOBODY);
+  assert_eq!(fleet.boxes_failing(BOXES, |fleet, index| !fleet.sees_live(index, 3)), NOBODY);
 }
 
 #[test]
@@ -150,17 +150,17 @@
     fleet.start(index, 5_000);
   }
   fleet.run(1_000);
-  assert_eq!(fleet.lacking(BOXES, |fleet, index| fleet.version(index) == Some(9)), NOBODY);
+  assert_eq!(fleet.boxes_failing(BOXES, |fleet, index| fleet.version(index) == Some(9)), NOBODY);
   assert_eq!(all_live(&fleet), NOBODY);
 }
 
 #[test]
 fn a_paused_box_reads_the_store_again() {
   let mut fleet = fleet();
-  fleet.frozen.insert(Followers::box_id(2));
+  fleet.paused.insert(Followers::box_id(2));
   fleet.run(6_000);
   fleet.write_version(2);
-  fleet.frozen.clear();
+  fleet.paused.clear();
   fleet.run(1_500);
   assert_eq!(fleet.version(2), Some(2));
   fleet.run(4_000);
@@ -185,11 +185,11 @@
     for second in 0..first {
       let mut fleet = fleet();
       fleet.run(2_000);
-      fleet.frozen.extend([first, second].map(Followers::box_id));
+      fleet.paused.extend([first, second].map(Followers::box_id));
       fleet.run(50);
       fleet.write_version(2);
       fleet.run(2_400);
-      let late = fleet.lacking(BOXES, |fleet, index| {
+      let late = fleet.boxes_failing(BOXES, |fleet, index| {
         [first, second].contains(&index) || fleet.version(index) == Some(2)
       });
       assert_eq!(late, NOBODY, "boxes {first} and {second} are paused");
@@ -203,11 +203,11 @@
     for second in 0..first {
       let mut fleet = fleet();
       fleet.run(2_000);
-      fleet.unserved.extend([first, second].map(Followers::box_id));
+      fleet.rejected_boxes.extend([first, second].map(Followers::box_id));
       fleet.run(50);
       fleet.write_version(2);
       fleet.run(2_400);
-      let late = fleet.lacking(BOXES, |fleet, index| fleet.version(index) == Some(2));
+      let late = fleet.boxes_failing(BOXES, |fleet, index| fleet.version(index) == Some(2));
       let logged = fleet.logged.join("\n");
       assert_eq!(late, NOBODY, "boxes {first} and {second} are rejected\n{logged}");
     }
@@ -223,7 +223,7 @@
     fleet.run(130);
   }
   fleet.run(2_000);
-  assert_eq!(fleet.lacking(BOXES, |fleet, index| fleet.version(index) == Some(117)), NOBODY);
+  assert_eq!(fleet.boxes_failing(BOXES, |fleet, index| fleet.version(index) == Some(117)), NOBODY);
 }
 
 /// A change of many objects would saturate narrow links of the watchers: the other boxes read the
@@ -234,12 +234,12 @@
   fleet.run(2_000);
   fleet.write_services(2, 3);
   fleet.run(1_500);
-  assert_eq!(fleet.lacking(BOXES, |fleet, index| fleet.version(index) == Some(2)), NOBODY);
+  assert_eq!(fleet.boxes_failing(BOXES, |fleet, index| fleet.version(index) == Some(2)), NOBODY);
   let small = fleet.pushed_objects;
   assert!(small > 0, "a small change is sent on links");
   fleet.write_services(3, 3_000);
   fleet.run(1_500);
-  assert_eq!(fleet.lacking(BOXES, |fleet, index| fleet.version(index) == Some(3)), NOBODY);
+  assert_eq!(fleet.boxes_failing(BOXES, |fleet, index| fleet.version(index) == Some(3)), NOBODY);
   assert_eq!(fleet.pushed_objects, small, "a large one does not");
 }
 
@@ -251,7 +251,7 @@
   let before = fleet.store_tenths;
   fleet.write_services(2, 3_000);
   fleet.run(700);
-  assert_eq!(fleet.lacking(BOXES, |fleet, index| fleet.version(index) == Some(2)), NOBODY);
+  assert_eq!(fleet.boxes_failing(BOXES, |fleet, index| fleet.version(index) == Some(2)), NOBODY);
   assert!(fleet.pushed_objects >= 3_000 * (BOXES - 6), "{} objects", fleet.pushed_objects);
   // Six watchers begin a new watch, and renew their leases at a tenth of a call.
   let calls = (fleet.store_tenths - before) / 10;
@@ -266,7 +266,7 @@
   assert_eq!(fleet.behind, [], "no box missed the first version");
   fleet.write_services(2, 3_000);
   fleet.run(1_500);
-  assert_eq!(fleet.lacking(BOXES, |fleet, index| fleet.version(index) == Some(2)), NOBODY);
+  assert_eq!(fleet.boxes_failing(BOXES, |fleet, index| fleet.version(index) == Some(2)), NOBODY);
   let behind: BTreeSet<&BoxId> = fleet.behind.iter().map(|(box_id, _)| box_id).collect();
   // Two boxes of each data hall watch the store, and send changes to the others.
   assert_eq!(behind.len(), BOXES - 6, "{:?}", fleet.behind);
@@ -279,7 +279,7 @@
   for index in 0..BOXES {
     let mut fleet = fleet();
     fleet.run(3_000);
-    fleet.unserved.extend((0..BOXES).map(Followers::box_id));
+    fleet.rejected_boxes.extend((0..BOXES).map(Followers::box_id));
     fleet.run(3_000);
     fleet.stop(index);
     fleet.run(700);
@@ -297,14 +297,14 @@
   let mut fleet = fleet();
   fleet.write_text("not a configuration".into());
   fleet.run(1_000);
-  assert_eq!(fleet.lacking(BOXES, |fleet, index| fleet.version(index) == Some(1)), NOBODY);
+  assert_eq!(fleet.boxes_failing(BOXES, |fleet, index| fleet.version(index) == Some(1)), NOBODY);
   let refused_by = |fleet: &Followers, index: usize| {
     fleet.refused.iter().any(|(box_id, _)| *box_id == Followers::box_id(index))
   };
   assert!((0..BOXES).any(|index| refused_by(&fleet, index)), "{:?}", fleet.refused);
   fleet.write_version(2);
   fleet.run(1_000);
-  assert_eq!(fleet.lacking(BOXES, |fleet, index| fleet.version(index) == Some(2)), NOBODY);
+  assert_eq!(fleet.boxes_failing(BOXES, |fleet, index| fleet.version(index) == Some(2)), NOBODY);
 }
 
 /// Only watchers read the store; the others must learn of a version that the watchers could not
@@ -319,7 +319,7 @@
     let told = (Followers::box_id(index), Version(2));
     fleet.behind.contains(&told)
   };
-  assert_eq!(fleet.lacking(BOXES, knows), NOBODY, "{:?}", fleet.behind);
+  assert_eq!(fleet.boxes_failing(BOXES, knows), NOBODY, "{:?}", fleet.behind);
   let (refused, reads) = (fleet.refused.len(), fleet.store_tenths);
   assert_eq!(refused, BOXES, "each box refuses it once: {:?}", fleet.refused);
   fleet.stop(4);
@@ -335,7 +335,7 @@
   assert!(calls <= 4 * BOXES as u64, "{calls} calls");
   fleet.write_version(3);
   fleet.run(1_500);
-  assert_eq!(fleet.lacking(BOXES, |fleet, index| fleet.version(index) == Some(3)), NOBODY);
+  assert_eq!(fleet.boxes_failing(BOXES, |fleet, index| fleet.version(index) == Some(3)), NOBODY);
 }
 
 /// A version stays refused until it, or a later one, is held; meanwhile the refusal is logged.
@@ -355,7 +355,7 @@
   assert_eq!(fleet.logged.iter().filter(told).count(), 2, "{:#?}", fleet.logged);
   fleet.write_version(3);
   fleet.run(1_500);
-  assert_eq!(fleet.lacking(BOXES, |fleet, index| fleet.version(index) == Some(3)), NOBODY);
+  assert_eq!(fleet.boxes_failing(BOXES, |fleet, index| fleet.version(index) == Some(3)), NOBODY);
   fleet.logged.clear();
   fleet.run(11_000);
   let told = |text: &&String| text.contains("the store's configuration is refused");
@@ -372,8 +372,8 @@
     fleet.write_version(version);
   }
   fleet.run(400);
-  assert_eq!(fleet.lacking(BOXES, |fleet, index| fleet.version(index) == Some(4)), NOBODY);
-  assert!(fleet.newest_reads > 0, "no box read the newest");
+  assert_eq!(fleet.boxes_failing(BOXES, |fleet, index| fleet.version(index) == Some(4)), NOBODY);
+  assert!(fleet.linearizable_reads > 0, "no box read the newest");
   let is_failure = |line: &&String| line.contains("does not serve");
   assert_eq!(fleet.logged.iter().find(is_failure), None);
 }
@@ -381,7 +381,7 @@
 #[test]
 fn a_box_logs_why_the_store_does_not_serve_it() {
   let mut fleet = fleet();
-  fleet.unserved.extend((0..BOXES).map(Followers::box_id));
+  fleet.rejected_boxes.extend((0..BOXES).map(Followers::box_id));
   fleet.run(1_000);
   let failures = || fleet.logged.iter().filter(|line| line.contains("does not serve this box"));
   assert!(failures().count() > 0);
@@ -404,7 +404,7 @@
   fleet.run(1_000);
   fleet.write_version(3);
   fleet.run(1_000);
-  assert_eq!(fleet.lacking(BOXES, |fleet, index| fleet.version(index) == Some(7)), NOBODY);
+  assert_eq!(fleet.boxes_failing(BOXES, |fleet, index| fleet.version(index) == Some(7)), NOBODY);
 }
 
 /// After a brief failure of the store for all boxes, no box may rely on neighbours that are as out
@@ -419,13 +419,13 @@
       fleet.start(index, 1_000);
     }
     fleet.run(4_000);
-    fleet.unserved.extend((0..MANY).map(Followers::box_id));
+    fleet.rejected_boxes.extend((0..MANY).map(Followers::box_id));
     fleet.run(400);
-    fleet.unserved.clear();
+    fleet.rejected_boxes.clear();
     fleet.run(3_000 + pause_ms);
     fleet.write_version(2);
     fleet.run(2_000);
-    let late = fleet.lacking(MANY, |fleet, index| fleet.version(index) == Some(2));
+    let late = fleet.boxes_failing(MANY, |fleet, index| fleet.version(index) == Some(2));
     assert_eq!(late, NOBODY, "{pause_ms} ms later");
   }
 }
--- a/tests/foreign_entries.rs
+++ b/tests/foreign_entries.rs
@@ -22,12 +22,12 @@
 
 /// Boxes that do not hold another one for a box that takes work.
 fn unseen(fleet: &Followers, other: usize) -> Vec<usize> {
-  fleet.lacking(BOXES, |fleet, index| fleet.sees_live(index, other))
+  fleet.boxes_failing(BOXES, |fleet, index| fleet.sees_live(index, other))
 }
 
 /// Values that are no entry of the box whose key they are given.
 fn spoiled(fleet: &mut Followers, index: usize) -> Vec<Value> {
-  let whole = fleet.entry_of(index).expect("an entry");
+  let whole = fleet.box_entry(index).expect("an entry");
   let whole = whole.text().expect("text").to_string();
   let mut values: Vec<Value> = ["", "null", "[]", "{}", "7", "\u{0}"].map(Value::from).into();
   values.push(Value::unreadable("no text"));
@@ -52,7 +52,7 @@
     fleet.write_foreign("mesh/boxes/box-0", value.clone());
     fleet.run(READ_MS);
     assert_eq!(unseen(&fleet, 0), NOBODY, "{value:?}: {:#?}", fleet.logged);
-    assert!(fleet.entry_of(0).is_some_and(|entry| entry != value), "{value:?} still stands");
+    assert!(fleet.box_entry(0).is_some_and(|entry| entry != value), "{value:?} still stands");
     assert!(
       fleet.unreadable.iter().any(|(_, one)| one.key.as_str().ends_with("box-0")),
       "{value:?}"
@@ -65,7 +65,7 @@
 #[test]
 fn a_box_whose_entry_is_spoiled_is_not_used_while_it_says_nothing() {
   let mut fleet = fleet();
-  fleet.frozen.insert(Followers::box_id(0));
+  fleet.paused.insert(Followers::box_id(0));
   fleet.write_foreign("mesh/boxes/box-0", Value::unreadable("no text"));
   fleet.run(3_500);
   let all_others: Vec<usize> = (1..BOXES).collect();
@@ -73,7 +73,7 @@
     unseen(&fleet, 0).into_iter().filter(|index| *index > 0).collect::<Vec<_>>(),
     all_others
   );
-  fleet.frozen.clear();
+  fleet.paused.clear();
   fleet.run(READ_MS);
   assert_eq!(unseen(&fleet, 0), NOBODY, "{:#?}", fleet.logged);
 }
@@ -88,7 +88,7 @@
     let clock_ms = fleet.now;
     fleet.start(BOXES + index, clock_ms);
     fleet.run(READ_MS);
-    let unseen = fleet.lacking(BOXES, |fleet, one| fleet.sees_live(one, BOXES + index));
+    let unseen = fleet.boxes_failing(BOXES, |fleet, one| fleet.sees_live(one, BOXES + index));
     assert_eq!(unseen, NOBODY, "{key}: {:#?}", fleet.logged);
   }
 }
--- a/tests/head.rs
+++ b/tests/head.rs
@@ -40,18 +40,18 @@
     let change = accepted(&configuration, number);
     let before = configuration.clone();
     configuration = configuration.apply(&change).expect("its digest fits");
-    if head.wants_snapshot(&change) {
+    if head.needs_snapshot(&change) {
       snapshots += 1;
       head = head.with_snapshot(change);
       assert_eq!(head.snapshot_version, head.version);
-      assert_eq!(head.since_snapshot().count(), 0);
+      assert_eq!(head.changes_since_snapshot().count(), 0);
     } else {
-      head = head.with(change);
+      head = head.with_change(change);
     }
     assert_eq!(head.digest(), configuration.digest());
     let last = head.tail.last().expect("the last change stays");
     assert_eq!(before.apply(last).expect("one behind goes on by the last change"), configuration);
   }
   assert_eq!(snapshots, 3);
-  assert!(head.tail.len() <= Head::TAIL_MAX + Head::TAIL_KEPT);
+  assert!(head.tail.len() <= Head::TAIL_MAX + Head::TAIL_RETAINED);
 }
--- a/tests/large_configuration.rs
+++ b/tests/large_configuration.rs
@@ -110,8 +110,8 @@
   assert_eq!(behind.held(), catalog.held());
 }
 
-/// On a link of 10 Mbit/s, the largest configuration that the store holds takes less than a third of a
-/// second, and a thousand additional routes less than a heartbeat interval.
+/// On a link of 10 Mbit/s, the largest configuration that the store holds takes less than a third
+/// of a second, and a thousand additional routes less than a heartbeat interval.
 #[test]
 fn a_large_configuration_is_small_on_a_link() {
   const BYTES_PER_MS: usize = 10 * 125;
@@ -183,7 +183,7 @@
     fleet.start(index, 1_000);
   }
   fleet.run(4_000);
-  assert_eq!(fleet.lacking(BOXES, |fleet, index| fleet.version(index) == Some(1)), NO_BOXES);
+  assert_eq!(fleet.boxes_failing(BOXES, |fleet, index| fleet.version(index) == Some(1)), NO_BOXES);
   fleet.write_text("not a configuration".into());
   fleet.run(2_000);
   fleet.stop(4);
--- a/tests/narrow_links.rs
+++ b/tests/narrow_links.rs
@@ -49,7 +49,7 @@
     fleet.start(index, 1_000);
   }
   fleet.run(6_000);
-  let behind = fleet.lacking(BOXES, |fleet, index| fleet.version(index) == Some(1));
+  let behind = fleet.boxes_failing(BOXES, |fleet, index| fleet.version(index) == Some(1));
   assert!(behind.is_empty(), "{behind:?} do not hold the first version");
   fleet
 }
@@ -146,7 +146,7 @@
   arrivals(&mut fleet, &BTreeSet::from([WATCHER]), 2);
   assert_eq!(fleet.version(WATCHER), Some(2));
   fleet.run(STEP_MS);
-  let lacking = fleet.lacking(BOXES, |fleet, index| fleet.version(index) == Some(2));
+  let lacking = fleet.boxes_failing(BOXES, |fleet, index| fleet.version(index) == Some(2));
   assert!(!lacking.is_empty(), "the watcher sent everything before it died");
   fleet.stop(WATCHER);
   assert_in_time(&mut fleet, &others, 2, written_at, LATE_MS);
@@ -173,7 +173,7 @@
 fn a_large_change_is_in_force_in_time_where_the_store_turns_a_third_away() {
   let mut fleet = fleet(WIDE);
   let turned_away = (0..BOXES).filter(|index| index / 3 % 3 == 0);
-  fleet.unserved.extend(turned_away.map(Followers::box_id));
+  fleet.rejected_boxes.extend(turned_away.map(Followers::box_id));
   fleet.run(50);
   fleet.write_text(operator_routes::written(2, MANY));
   let written_at = fleet.now;
@@ -183,7 +183,7 @@
 #[test]
 fn a_box_that_starts_anew_in_an_outage_gets_a_large_configuration_from_its_neighbours() {
   let mut fleet = fleet(WIDE);
-  fleet.unserved.extend((0..BOXES).map(Followers::box_id));
+  fleet.rejected_boxes.extend((0..BOXES).map(Followers::box_id));
   fleet.run(3_000);
   for index in [0, 20] {
     fleet.stop(index);
--- a/tests/old_reads.rs
+++ b/tests/old_reads.rs
@@ -22,7 +22,7 @@
 
 /// Restarts boxes right after a change that reads do not show yet.
 fn restart_after_change(fleet: &mut Followers, boxes: impl Iterator<Item = usize>) {
-  fleet.begin_old_reads();
+  fleet.begin_stale_reads();
   fleet.write_version(2);
   let clock_ms = fleet.now + 1;
   boxes.for_each(|index| fleet.start(index, clock_ms));
@@ -37,11 +37,11 @@
       fleet.forget_history();
     }
     fleet.run(CONTACT_MS + APPLY_MS);
-    assert_eq!(fleet.late(BOXES, 2), NOBODY, "{:#?}", fleet.logged);
-    fleet.end_old_reads();
+    assert_eq!(fleet.boxes_without_version(BOXES, 2), NOBODY, "{:#?}", fleet.logged);
+    fleet.end_stale_reads();
     fleet.write_version(3);
     fleet.run(APPLY_MS);
-    assert_eq!(fleet.late(BOXES, 3), NOBODY, "{:#?}", fleet.logged);
+    assert_eq!(fleet.boxes_without_version(BOXES, 3), NOBODY, "{:#?}", fleet.logged);
   }
 }
 
@@ -52,6 +52,6 @@
     let mut fleet = Followers::at_rest(BOXES);
     restart_after_change(&mut fleet, [index].into_iter());
     fleet.run(CONTACT_MS + APPLY_MS);
-    assert_eq!(fleet.late(BOXES, 2), NOBODY, "box {index}: {:#?}", fleet.logged);
+    assert_eq!(fleet.boxes_without_version(BOXES, 2), NOBODY, "box {index}: {:#?}", fleet.logged);
   }
 }
--- a/tests/organisations.rs
+++ b/tests/organisations.rs
@@ -46,7 +46,7 @@
       rate_limit: None,
       regions: BTreeSet::new(),
     };
-    let revised = Revised { revision: Patch::REVISION, value };
+    let revised = Revised { revision: Patch::SOURCE_REVISION, value };
     configuration.organisations.insert(name(organisation), revised);
   }
   configuration
--- a/tests/rollouts.rs
+++ b/tests/rollouts.rs
@@ -156,8 +156,8 @@
         let box_id: BoxId = Followers::box_id(decider);
         match failure {
           "killed" => world.kill(decider),
-          "frozen" => assert!(world.fleet.frozen.insert(box_id)),
-          _ => assert!(world.fleet.unserved.insert(box_id)),
+          "frozen" => assert!(world.fleet.paused.insert(box_id)),
+          _ => assert!(world.fleet.rejected_boxes.insert(box_id)),
         }
         let end = end(&mut world);
         if is_good {
@@ -183,11 +183,11 @@
     world.order(DURATION_MS);
     world.run(5_000);
     let decider = world.decider();
-    world.fleet.frozen.insert(Followers::box_id(decider));
+    world.fleet.paused.insert(Followers::box_id(decider));
     let (stage, _) = end(&mut world);
     assert_eq!(stage, Stage::Completed);
     let record = world.record();
-    world.fleet.frozen.clear();
+    world.fleet.paused.clear();
     world.run(4_000);
     assert_eq!(world.record(), record);
   }
@@ -199,12 +199,12 @@
   world.order(DURATION_MS);
   world.run(2_500);
   let all: Vec<BoxId> = (0..2 * BOXES).map(Followers::box_id).collect();
-  world.fleet.unserved.extend(all);
+  world.fleet.rejected_boxes.extend(all);
   world.run(6_000);
   let before = world.arrived.0;
   world.run(2_000);
   assert_eq!(world.arrived.0, before, "a bad version still gets requests after the halt");
-  world.fleet.unserved.clear();
+  world.fleet.rejected_boxes.clear();
   let end = end(&mut world);
   assert_rolled_back(&mut world, end);
 }
@@ -215,9 +215,9 @@
   world.order(DURATION_MS);
   world.run(3_000);
   let all: Vec<BoxId> = (0..2 * BOXES).map(Followers::box_id).collect();
-  world.fleet.unserved.extend(all);
+  world.fleet.rejected_boxes.extend(all);
   world.run(4_000);
-  world.fleet.unserved.clear();
+  world.fleet.rejected_boxes.clear();
   let end = end(&mut world);
   assert_completed(&mut world, end);
 }
@@ -226,10 +226,10 @@
 #[test]
 fn a_rollback_survives_a_restore_of_the_store_from_a_copy() {
   let mut world = world(1, Some(Fault::errors(0.5)));
-  world.fleet.keep_copy();
+  world.fleet.back_up();
   let end = run_rollout(&mut world);
   assert!(matches!(end.0, Stage::RolledBack { .. }));
-  world.fleet.go_back();
+  world.fleet.restore_backup();
   world.fleet.write_version(1);
   let order = "{\"d\":14000,\"s\":\"service\",\"t\":\"v2\"}";
   world.fleet.write_item(&["op", "orders", "service"], order.into());
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -35,7 +35,7 @@
 
 /// Returns the boxes that do not hold a version.
 fn late(fleet: &Followers, version: u64) -> Vec<usize> {
-  fleet.lacking(BOXES, |fleet, index| fleet.version(index) == Some(version))
+  fleet.boxes_failing(BOXES, |fleet, index| fleet.version(index) == Some(version))
 }
 
 /// Renewals and reads of the directory continue to succeed, so only the changes themselves reveal
--- a/tests/standing_still.rs
+++ b/tests/standing_still.rs
@@ -188,12 +188,12 @@
     for _ in 0..4 {
       let paused_boxes = rng.random_range(1..6);
       let paused = (0..paused_boxes).map(|_| Followers::box_id(rng.random_range(0..BOXES)));
-      fleet.frozen.extend(paused.collect::<Vec<_>>());
+      fleet.paused.extend(paused.collect::<Vec<_>>());
       fleet.run(rng.random_range(0..2_000));
       version += rng.random_range(1..4);
       fleet.write_version(version);
       fleet.run(rng.random_range(200..20_000));
-      fleet.frozen.clear();
+      fleet.paused.clear();
       fleet.run(CAUGHT_UP_MS);
       for (index, held) in held.iter_mut().enumerate() {
         let now = fleet.version(index).unwrap_or(0);
--- a/tests/store_cost.rs
+++ b/tests/store_cost.rs
@@ -31,7 +31,7 @@
 /// comes after a second.
 fn start(fleet: &mut Followers) {
   for index in 0..BOXES {
-    fleet.start_beside(index, 1_000, EndpointState::Draining);
+    fleet.start_with_state(index, 1_000, EndpointState::Draining);
   }
   fleet.run(1_000);
   fleet.write_version(1);
@@ -45,7 +45,7 @@
 fn fleet() -> Followers {
   let mut fleet = Followers::new();
   start(&mut fleet);
-  let lacks = fleet.lacking(BOXES, |fleet, from| {
+  let lacks = fleet.boxes_failing(BOXES, |fleet, from| {
     fleet.version(from) == Some(1) && (0..BOXES).all(|to| fleet.sees_live(from, to))
   });
   assert_eq!(lacks, NOBODY, "{:#?}", fleet.logged);
@@ -74,16 +74,16 @@
 #[test]
 fn an_outage_costs_a_fifth_of_a_call_a_box_and_second() {
   let mut fleet = fleet();
-  fleet.unserved.extend((0..BOXES).map(Followers::box_id));
+  fleet.rejected_boxes.extend((0..BOXES).map(Followers::box_id));
   let calls = calls_a_box(&mut fleet, |fleet| fleet.run(8_000));
   assert!(calls <= 1.6, "{calls} calls a box in 8 s");
-  fleet.unserved.clear();
+  fleet.rejected_boxes.clear();
   let calls = calls_a_box(&mut fleet, |fleet| fleet.run(3_000));
   // Leases of 4 s expired meanwhile: each box needs a new one and an entry.
   assert!(calls <= 3.5, "{calls} calls a box after it");
   fleet.write_version(2);
   fleet.run(1_500);
-  assert_eq!(fleet.lacking(BOXES, |fleet, index| fleet.version(index) == Some(2)), NOBODY);
+  assert_eq!(fleet.boxes_failing(BOXES, |fleet, index| fleet.version(index) == Some(2)), NOBODY);
 }
 
 /// A box that finds an entry missing notifies the others; they need not read the directory
@@ -95,6 +95,6 @@
   // Its lease of 4 s, the slot of a watcher, the time for a lapsed entry to be rewritten, and a
   // margin.
   fleet.run(4_000 + 2_000 + 2_500 + 500);
-  let seen = fleet.lacking(BOXES, |fleet, index| !fleet.sees_live(index, 7));
+  let seen = fleet.boxes_failing(BOXES, |fleet, index| !fleet.sees_live(index, 7));
   assert_eq!(seen, NOBODY);
 }
--- a/tests/store_eras.rs
+++ b/tests/store_eras.rs
@@ -24,18 +24,18 @@
 fn fleet(boxes: usize) -> Followers {
   let before = boxes - boxes / 3;
   let mut fleet = Followers::at_rest(before);
-  fleet.keep_copy();
+  fleet.back_up();
   (before..boxes).for_each(|index| fleet.start(index, 9_000));
   fleet.write_version(2);
   fleet.run(6_000);
-  assert!(fleet.late(boxes, 2).is_empty(), "{:?}", fleet.late(boxes, 2));
+  assert!(fleet.boxes_without_version(boxes, 2).is_empty(), "{:?}", fleet.boxes_without_version(boxes, 2));
   assert!(missing(&mut fleet, boxes).is_empty());
   fleet
 }
 
 /// Returns the boxes whose entry the store lacks.
 fn missing(fleet: &mut Followers, boxes: usize) -> Vec<usize> {
-  (0..boxes).filter(|index| fleet.entry_of(*index).is_none()).collect()
+  (0..boxes).filter(|index| fleet.box_entry(*index).is_none()).collect()
 }
 
 /// Returns the boxes that at least one of three sampled boxes does not consider live.
@@ -59,7 +59,7 @@
 fn check_restores(boxes: usize) {
   let mut fleet = fleet(boxes);
   for round in 0..2 {
-    fleet.go_back();
+    fleet.restore_backup();
     let (before, began) = (fleet.store_tenths, fleet.now);
     let back_ms = run_until_entries_are_back(&mut fleet, boxes);
     fleet.run(ENTRIES_MS - back_ms);
@@ -69,12 +69,12 @@
     fleet.run(6_000);
     assert!(not_live(&fleet, boxes).is_empty(), "{:?}", not_live(&fleet, boxes));
     let newest = 2 + round;
-    assert!(fleet.late(boxes, newest).is_empty(), "a version went back");
+    assert!(fleet.boxes_without_version(boxes, newest).is_empty(), "a version went back");
     fleet.write_version(newest + 1);
     let accepted = fleet.now;
-    while !fleet.late(boxes, newest + 1).is_empty() {
+    while !fleet.boxes_without_version(boxes, newest + 1).is_empty() {
       fleet.run(20);
-      assert!(fleet.now - accepted <= APPLY_MS, "{:?}", fleet.late(boxes, newest + 1));
+      assert!(fleet.now - accepted <= APPLY_MS, "{:?}", fleet.boxes_without_version(boxes, newest + 1));
     }
     let applied_ms = fleet.now - accepted;
     println!(
@@ -106,14 +106,14 @@
 fn a_box_that_cannot_reach_the_store_stays_live() {
   const BOXES: usize = 10;
   let mut fleet = fleet(BOXES);
-  fleet.unserved.insert(Followers::box_id(BOXES - 1));
+  fleet.rejected_boxes.insert(Followers::box_id(BOXES - 1));
   fleet.run(4_000);
-  fleet.go_back();
+  fleet.restore_backup();
   fleet.run(8_000);
   assert!(not_live(&fleet, BOXES).is_empty(), "{:?}", not_live(&fleet, BOXES));
   fleet.write_version(3);
   fleet.run(APPLY_MS);
-  assert!(fleet.late(BOXES, 3).is_empty(), "{:?}", fleet.late(BOXES, 3));
+  assert!(fleet.boxes_without_version(BOXES, 3).is_empty(), "{:?}", fleet.boxes_without_version(BOXES, 3));
 }
 
 /// The last state of a leaving box is restored, and the box does not become live again.
@@ -123,12 +123,12 @@
   let mut fleet = fleet(BOXES);
   fleet.change_state(3, ferryyoke::fleet::EndpointState::Leaving);
   fleet.run(1_000);
-  fleet.go_back();
+  fleet.restore_backup();
   for _ in 0..100 {
     fleet.run(50);
     let live = (0..BOXES).filter(|from| fleet.sees_live(*from, 3)).collect::<Vec<_>>();
     assert!(live.is_empty(), "{live:?}");
   }
-  let entry = fleet.entry_of(3).expect("its entry");
+  let entry = fleet.box_entry(3).expect("its entry");
   assert!(entry.text().is_ok_and(|text| text.contains("leaving")), "{entry:?}");
 }
--- a/tests/support/followers.rs
+++ b/tests/support/followers.rs
@@ -27,12 +27,12 @@
 /// Milliseconds of one simulation step.
 const STEP_MS: u64 = 10;
 /// Milliseconds beyond a watch's own wait after which its call fails without an answer.
-const PATIENCE_MS: u64 = 1_000;
+const WATCH_GRACE_MS: u64 = 1_000;
 /// Latency of an answer or message in milliseconds, in addition to its transmission time.
 const DELAY_MS: u64 = 10;
 
 /// A scheduled event of a box.
-enum Coming {
+enum Scheduled {
   /// A call to the store has left the box's link.
   Call {
     call: u64,
@@ -46,9 +46,9 @@
   },
   /// A transmission reaches the box's link. After its bytes have passed the link, the event in it
   /// follows. Until `left_at_us`, the transmission is still queued at its sender.
-  Parcel {
+  Transmission {
     bytes: usize,
-    coming: Box<Coming>,
+    scheduled: Box<Scheduled>,
     left_at_us: u64,
     sender: Option<BoxId>,
   },
@@ -60,15 +60,15 @@
   pub behind: Vec<(BoxId, Version)>,
   boxes: BTreeMap<BoxId, Follower>,
   /// By microsecond, then in order of scheduling.
-  coming: BTreeMap<(u64, u64), (BoxId, Coming)>,
+  scheduled: BTreeMap<(u64, u64), (BoxId, Scheduled)>,
   /// The backup from which the store is restored.
-  copy: Keyspace,
+  backup: Keyspace,
   /// How often the store was restored.
   era: Era,
   /// The data halls that each box knows to be evacuated.
   evacuated: BTreeMap<BoxId, BTreeSet<DataHall>>,
   /// Boxes whose process is paused.
-  pub frozen: BTreeSet<BoxId>,
+  pub paused: BTreeSet<BoxId>,
   keyspace: Keyspace,
   last: u64,
   /// The link rate that boxes announce, in Mbit/s, if their links are not limited.
@@ -76,9 +76,9 @@
   /// Number of messages with endpoints on links.
   pub news_messages: usize,
   /// Number of linearizable list reads.
-  pub newest_reads: usize,
+  pub linearizable_reads: usize,
   /// The earlier state of the store that stale reads get; `None` while they get the current state.
-  old: Option<Keyspace>,
+  stale_store: Option<Keyspace>,
   /// The rates of the boxes' links.
   pub lines: Lines,
   /// The other end of each link: the box and the link's id there.
@@ -100,7 +100,7 @@
   /// Each box's routing of traffic to software versions.
   pub traffic: BTreeMap<BoxId, TrafficTable>,
   /// How often each box's proxies received changed endpoints.
-  pub times_told: BTreeMap<BoxId, usize>,
+  pub endpoint_notifications: BTreeMap<BoxId, usize>,
   /// The last unpacked update with its number of objects.
   unpacked: Option<(PackedUpdate, usize)>,
   /// Ends of open links whose messages are lost.
@@ -108,7 +108,7 @@
   /// Watches that the store never answers. Their calls time out.
   silent_watches: BTreeSet<(BoxId, u64)>,
   /// Boxes that the store rejects.
-  pub unserved: BTreeSet<BoxId>,
+  pub rejected_boxes: BTreeSet<BoxId>,
   /// Number of whole configurations received by watches.
   pub watched_configurations: usize,
   /// Number of watches that reached the store.
@@ -123,17 +123,17 @@
     Self {
       behind: Vec::new(),
       boxes: BTreeMap::new(),
-      coming: BTreeMap::new(),
-      copy: Keyspace::default(),
+      scheduled: BTreeMap::new(),
+      backup: Keyspace::default(),
       era: Era(0),
       evacuated: BTreeMap::new(),
-      frozen: BTreeSet::new(),
+      paused: BTreeSet::new(),
       keyspace: Keyspace::default(),
       last: 0,
       link_mbps: 10,
       news_messages: 0,
-      newest_reads: 0,
-      old: None,
+      linearizable_reads: 0,
+      stale_store: None,
       lines: Lines::default(),
       links: BTreeMap::new(),
       logged: Vec::new(),
@@ -146,9 +146,9 @@
       store_tenths: 0,
       unreadable: Vec::new(),
       traffic: BTreeMap::new(),
-      times_told: BTreeMap::new(),
+      endpoint_notifications: BTreeMap::new(),
       unpacked: None,
-      unserved: BTreeSet::new(),
+      rejected_boxes: BTreeSet::new(),
       watched_configurations: 0,
       watches_begun: 0,
       watches: Vec::new(),
@@ -162,13 +162,13 @@
     fleet.write_version(1);
     (0..boxes).for_each(|index| fleet.start(index, 1_000));
     fleet.run(8_000);
-    assert!(fleet.late(boxes, 1).is_empty(), "{:#?}", fleet.logged);
+    assert!(fleet.boxes_without_version(boxes, 1).is_empty(), "{:#?}", fleet.logged);
     fleet
   }
 
   /// Indexes of the running boxes that do not hold `version`.
-  pub fn late(&self, boxes: usize, version: u64) -> Vec<usize> {
-    self.lacking(boxes, |fleet, index| fleet.version(index) == Some(version))
+  pub fn boxes_without_version(&self, boxes: usize, version: u64) -> Vec<usize> {
+    self.boxes_failing(boxes, |fleet, index| fleet.version(index) == Some(version))
   }
 
   pub fn box_id(index: usize) -> BoxId {
@@ -181,11 +181,11 @@
 
   /// Starts or restarts a box without any state. `clock_ms` is the time of its clock.
   pub fn start(&mut self, index: usize, clock_ms: u64) {
-    self.start_beside(index, clock_ms, EndpointState::Live);
+    self.start_with_state(index, clock_ms, EndpointState::Live);
   }
 
   /// Starts or restarts a box whose backend server is in the given state.
-  pub fn start_beside(&mut self, index: usize, clock_ms: u64, state: EndpointState) {
+  pub fn start_with_state(&mut self, index: usize, clock_ms: u64, state: EndpointState) {
     let box_id = Self::box_id(index);
     self.stop(index);
     let address = format!("127.0.0.1:{}", 1_000 + index).parse().expect("an address");
@@ -228,8 +228,8 @@
     self.lines.clear(&box_id);
     self.watches.retain(|(owner, ..)| *owner != box_id);
     let now_us = self.now * 1_000;
-    self.coming.retain(|_, (owner, coming)| match coming {
-      Coming::Parcel { left_at_us, sender: Some(sender), .. } if *sender == box_id => {
+    self.scheduled.retain(|_, (owner, scheduled)| match scheduled {
+      Scheduled::Transmission { left_at_us, sender: Some(sender), .. } if *sender == box_id => {
         *left_at_us <= now_us && *owner != box_id
       }
       _ => *owner != box_id,
@@ -248,24 +248,24 @@
         return;
       }
       self.links.remove(&(peer.clone(), link));
-      self.convey(sender, &peer, 0, Coming::Event(Box::new(Event::LinkClosed { link })));
+      self.transmit(sender, &peer, 0, Scheduled::Event(Box::new(Event::LinkClosed { link })));
     }
   }
 
   /// Sends an event to a box over the sender's link, if the sender is a box, and the box's own
   /// link.
-  fn convey(&mut self, sender: Option<&BoxId>, to: &BoxId, bytes: usize, coming: Coming) {
+  fn transmit(&mut self, sender: Option<&BoxId>, to: &BoxId, bytes: usize, scheduled: Scheduled) {
     let now_us = self.now * 1_000;
     let left_at_us =
       sender.map_or(now_us, |sender| self.lines.carry(sender, Direction::Outward, now_us, bytes));
-    let (coming, sender) = (Box::new(coming), sender.cloned());
-    let parcel = Coming::Parcel { bytes, coming, left_at_us, sender };
+    let (scheduled, sender) = (Box::new(scheduled), sender.cloned());
+    let parcel = Scheduled::Transmission { bytes, scheduled, left_at_us, sender };
     self.at(left_at_us + DELAY_MS * 1_000, to, parcel);
   }
 
-  fn at(&mut self, at_us: u64, box_id: &BoxId, coming: Coming) {
+  fn at(&mut self, at_us: u64, box_id: &BoxId, scheduled: Scheduled) {
     self.last += 1;
-    self.coming.insert((at_us, self.last), (box_id.clone(), coming));
+    self.scheduled.insert((at_us, self.last), (box_id.clone(), scheduled));
   }
 
   /// Writes a configuration as the operators.
@@ -327,7 +327,7 @@
   }
 
   /// The value of a box's entry in the store.
-  pub fn entry_of(&mut self, index: usize) -> Option<Value> {
+  pub fn box_entry(&mut self, index: usize) -> Option<Value> {
     let key = Key::of(&["mesh", "boxes", Self::box_id(index).as_str()]);
     match self.keyspace.call(Time(self.now), &StoreRequest::Read { key }) {
       Ok(Reply::Entry { entry, .. }) => entry.map(|entry| entry.value),
@@ -336,14 +336,14 @@
   }
 
   /// Makes a backup of the store.
-  pub fn keep_copy(&mut self) {
-    self.copy = self.keyspace.clone();
+  pub fn back_up(&mut self) {
+    self.backup = self.keyspace.clone();
   }
 
   /// Restores the store from the backup: later writes are lost, and their revisions and lease ids
   /// are reused. Pending watches fail.
-  pub fn go_back(&mut self) {
-    self.keyspace = self.copy.clone();
+  pub fn restore_backup(&mut self) {
+    self.keyspace = self.backup.clone();
     self.era = self.era.next();
     for (box_id, call, ..) in std::mem::take(&mut self.watches) {
       self.answer(&box_id, call, Err(store::Error::Unknown { reason: "cut".into() }));
@@ -362,10 +362,10 @@
       self.now += STEP_MS;
       self.keyspace.expire(Time(self.now));
       self.answer_watches();
-      self.let_come();
+      self.deliver_due();
       if self.now.is_multiple_of(50) {
         let ticking: Vec<BoxId> =
-          self.boxes.keys().filter(|one| !self.frozen.contains(*one)).cloned().collect();
+          self.boxes.keys().filter(|one| !self.paused.contains(*one)).cloned().collect();
         for box_id in ticking {
           self.handle(&box_id, Event::Tick);
         }
@@ -374,30 +374,31 @@
   }
 
   /// Handles all due events. Events of a paused process stay queued in order.
-  fn let_come(&mut self) {
+  fn deliver_due(&mut self) {
     let mut waiting = Vec::new();
-    while let Some(first) = self.coming.first_entry().filter(|one| one.key().0 <= self.now * 1_000)
+    while let Some(first) =
+      self.scheduled.first_entry().filter(|one| one.key().0 <= self.now * 1_000)
     {
-      let (key, (box_id, coming)) = first.remove_entry();
-      let is_for_process = matches!(coming, Coming::Event(_) | Coming::Opened { .. });
-      if is_for_process && self.frozen.contains(&box_id) {
-        waiting.push((key, (box_id, coming)));
+      let (key, (box_id, scheduled)) = first.remove_entry();
+      let is_for_process = matches!(scheduled, Scheduled::Event(_) | Scheduled::Opened { .. });
+      if is_for_process && self.paused.contains(&box_id) {
+        waiting.push((key, (box_id, scheduled)));
       } else {
-        self.arrive(key.0, &box_id, coming);
+        self.arrive(key.0, &box_id, scheduled);
       }
     }
-    self.coming.extend(waiting);
+    self.scheduled.extend(waiting);
   }
 
-  fn arrive(&mut self, at_us: u64, box_id: &BoxId, coming: Coming) {
-    match coming {
-      Coming::Call { call, request } => self.call_arrives(box_id, call, request),
-      Coming::Parcel { bytes, coming, .. } => {
+  fn arrive(&mut self, at_us: u64, box_id: &BoxId, scheduled: Scheduled) {
+    match scheduled {
+      Scheduled::Call { call, request } => self.call_arrives(box_id, call, request),
+      Scheduled::Transmission { bytes, scheduled, .. } => {
         let through_us = self.lines.carry(box_id, Direction::Inward, at_us, bytes);
-        self.at(through_us, box_id, *coming);
+        self.at(through_us, box_id, *scheduled);
       }
-      Coming::Event(event) => self.handle(box_id, *event),
-      Coming::Opened { link, outbound, peer } => {
+      Scheduled::Event(event) => self.handle(box_id, *event),
+      Scheduled::Opened { link, outbound, peer } => {
         self.handle(box_id, Event::LinkOpened { link, outbound, peer });
       }
     }
@@ -419,7 +420,7 @@
       Action::CallStore { call, request } => self.call_store(box_id, call, request),
       Action::CloseLink { link } => self.close(&(box_id.clone(), link), Some(box_id)),
       Action::EndpointsNews(_) => {
-        *self.times_told.entry(box_id.clone()).or_default() += 1;
+        *self.endpoint_notifications.entry(box_id.clone()).or_default() += 1;
       }
       Action::EvacuationsChanged(halls) => {
         self.evacuated.insert(box_id.clone(), halls);
@@ -437,9 +438,9 @@
   }
 
   fn open(&mut self, from: &BoxId, to: &BoxId) {
-    if !self.boxes.contains_key(to) || self.frozen.contains(to) {
+    if !self.boxes.contains_key(to) || self.paused.contains(to) {
       let failed = Event::LinkFailed { box_id: to.clone() };
-      self.convey(None, from, 0, Coming::Event(Box::new(failed)));
+      self.transmit(None, from, 0, Scheduled::Event(Box::new(failed)));
       return;
     }
     self.logged.push(format!("{} {from} links to {to}", self.now));
@@ -448,9 +449,9 @@
     self.links.insert((from.clone(), near), (to.clone(), far));
     self.links.insert((to.clone(), far), (from.clone(), near));
     let (opened, peer) =
-      (|link, outbound, peer| Coming::Opened { link, outbound, peer }, from.clone());
-    self.convey(Some(from), to, 0, opened(far, false, peer));
-    self.convey(Some(to), from, 0, opened(near, true, to.clone()));
+      (|link, outbound, peer| Scheduled::Opened { link, outbound, peer }, from.clone());
+    self.transmit(Some(from), to, 0, opened(far, false, peer));
+    self.transmit(Some(to), from, 0, opened(near, true, to.clone()));
   }
 
   fn send(&mut self, from: &BoxId, link: LinkId, message: Message) {
@@ -470,7 +471,7 @@
         0
       };
       let received = Event::Received { link, message };
-      self.convey(Some(from), &to, bytes, Coming::Event(Box::new(received)));
+      self.transmit(Some(from), &to, bytes, Scheduled::Event(Box::new(received)));
     }
   }
 
@@ -494,7 +495,7 @@
     if left_at_us <= now_us {
       self.call_arrives(box_id, call, request);
     } else {
-      self.at(left_at_us, box_id, Coming::Call { call, request });
+      self.at(left_at_us, box_id, Scheduled::Call { call, request });
     }
   }
 
@@ -502,8 +503,8 @@
     let is_cheap =
       matches!(request, StoreRequest::ListStale { .. } | StoreRequest::RenewLease { .. });
     self.store_tenths += if is_cheap { 1 } else { 10 };
-    self.newest_reads += usize::from(matches!(request, StoreRequest::List { .. }));
-    if self.unserved.contains(box_id) {
+    self.linearizable_reads += usize::from(matches!(request, StoreRequest::List { .. }));
+    if self.rejected_boxes.contains(box_id) {
       // Both pending and new watches are cut, so that tests can tell them from other calls.
       let turned_away = match &request {
         StoreRequest::Watch { .. } => store::Error::Unknown { reason: "cut".into() },
@@ -521,7 +522,7 @@
       self.watches.push((box_id.clone(), call, request, until));
       return;
     }
-    let result = self.read_old(&request);
+    let result = self.read_stale(&request);
     let result = result.unwrap_or_else(|| self.keyspace.call(Time(self.now), &request));
     self.answer(box_id, call, result.map_err(store::Error::from));
   }
@@ -539,8 +540,9 @@
   }
 
   /// Answers a stale read with the earlier state of the store, but with its current revision.
-  fn read_old(&mut self, request: &StoreRequest) -> Option<Result<Reply, Refusal>> {
-    let old = self.old.as_mut().filter(|_| matches!(request, StoreRequest::ListStale { .. }))?;
+  fn read_stale(&mut self, request: &StoreRequest) -> Option<Result<Reply, Refusal>> {
+    let old =
+      self.stale_store.as_mut().filter(|_| matches!(request, StoreRequest::ListStale { .. }))?;
     let (result, revision) = (old.call(Time(self.now), request), self.keyspace.revision());
     Some(result.map(|reply| match reply {
       Reply::Entries { entries, .. } => Reply::Entries { entries, revision },
@@ -549,13 +551,13 @@
   }
 
   /// From now on, stale reads get the present state of the store.
-  pub fn begin_old_reads(&mut self) {
-    self.old = Some(self.keyspace.clone());
+  pub fn begin_stale_reads(&mut self) {
+    self.stale_store = Some(self.keyspace.clone());
   }
 
   /// From now on, stale reads get the current state of the store again.
-  pub fn end_old_reads(&mut self) {
-    self.old = None;
+  pub fn end_stale_reads(&mut self) {
+    self.stale_store = None;
   }
 
   /// Compacts the store's history up to now.
@@ -567,7 +569,7 @@
     let bytes = lines::answer_bytes(&result);
     let result = result.map(|reply| reply.of_era(self.era));
     let answered = Event::StoreAnswered { call, era: self.era, result };
-    self.convey(None, box_id, bytes, Coming::Event(Box::new(answered)));
+    self.transmit(None, box_id, bytes, Scheduled::Event(Box::new(answered)));
   }
 
   /// Silences the connections of the boxes' pending watches. New watches work.
@@ -588,7 +590,7 @@
     let waiting = std::mem::take(&mut self.watches);
     for (box_id, call, request, until) in waiting {
       if self.silent_watches.contains(&(box_id.clone(), call)) {
-        if self.now < until + PATIENCE_MS {
+        if self.now < until + WATCH_GRACE_MS {
           self.watches.push((box_id, call, request, until));
         } else {
           let reason = "no answer began".into();
@@ -596,13 +598,14 @@
         }
         continue;
       }
-      if self.unserved.contains(&box_id) {
+      if self.rejected_boxes.contains(&box_id) {
         self.answer(&box_id, call, Err(store::Error::Unknown { reason: "cut".into() }));
         continue;
       }
       let result = self.keyspace.call(Time(self.now), &request);
       let is_idle = matches!(&result, Ok(Reply::Changes { events, .. }) if events.is_empty());
-      let is_over = matches!(&result, Ok(Reply::Changes { events, .. }) if events.len() > self.watch_events_max);
+      let is_over = matches!(&result, Ok(Reply::Changes { events, .. })
+        if events.len() > self.watch_events_max);
       if is_idle && self.now < until {
         self.watches.push((box_id, call, request, until));
       } else if is_over {
@@ -634,7 +637,7 @@
   }
 
   /// Indexes of the running boxes for which `holds` is false.
-  pub fn lacking(&self, count: usize, holds: impl Fn(&Self, usize) -> bool) -> Vec<usize> {
+  pub fn boxes_failing(&self, count: usize, holds: impl Fn(&Self, usize) -> bool) -> Vec<usize> {
     let runs = |index: &usize| self.boxes.contains_key(&Self::box_id(*index));
     (0..count).filter(runs).filter(|index| !holds(self, *index)).collect()
   }
--- a/tests/support/oracle.rs
+++ b/tests/support/oracle.rs
@@ -12,7 +12,7 @@
 #[derive(Default)]
 pub struct Oracle {
   /// Every change that an operator submitted, by id.
-  stated: BTreeMap<ChangeId, Change>,
+  submitted: BTreeMap<ChangeId, Change>,
   /// Every accepted version with its change and content.
   versions: BTreeMap<Version, (Option<ChangeId>, BTreeMap<ObjectName, Object>)>,
   /// The highest version that each box ever held, across restarts.
@@ -36,8 +36,8 @@
   }
 
   /// Records that an operator submits a change.
-  pub fn stated(&mut self, change: &Change) {
-    self.stated.insert(change.id.clone(), change.clone());
+  pub fn submitted(&mut self, change: &Change) {
+    self.submitted.insert(change.id.clone(), change.clone());
   }
 
   /// Checks and records that the store's head was written.
@@ -45,7 +45,7 @@
     let summary = head.history.last().expect("a head has a last change");
     assert_eq!(summary.version, head.version, "the last change created the head's version");
     assert_eq!(head.version, self.newest().next(), "versions have no gaps");
-    let change = self.stated.get(&summary.id).expect("only submitted changes are accepted");
+    let change = self.submitted.get(&summary.id).expect("only submitted changes are accepted");
     let twice = self.versions.values().any(|(id, _)| id.as_ref() == Some(&summary.id));
     assert!(!twice, "change {} was accepted twice", summary.id);
     let mut objects = self.versions[&self.newest()].1.clone();
--- a/tests/support/plain_source.rs
+++ b/tests/support/plain_source.rs
@@ -1,7 +1,7 @@
 //! Configurations in the product's own form, as the operators of a fleet in virtual time write them.
 
 use ferryyoke::{
-  configuration::{Configuration, Patch, Policy, Revised, Service, Source, Unreadable},
+  configuration::{Configuration, Patch, Policy, Revised, Service, Source, ParseError},
   rollout::Order,
   store::Key,
   values::{DataHall, Digest, PolicyName, ServiceName, Team, Version},
@@ -32,13 +32,13 @@
     serde_json::from_str(value).map_err(|err| err.to_string())
   }
 
-  fn read(&self, value: &str) -> Result<Configuration, Unreadable> {
+  fn read(&self, value: &str) -> Result<Configuration, ParseError> {
     // `unreadable 7` stands for a version 7 of which nothing else can be read.
     if let Some(version) = value.strip_prefix("unreadable ") {
       let version = version.parse().ok();
-      return Err(Unreadable { reason: "an unknown kind of route".into(), version });
+      return Err(ParseError { reason: "an unknown kind of route".into(), version });
     }
-    serde_json::from_str(value).map_err(Unreadable::unknown_version)
+    serde_json::from_str(value).map_err(ParseError::unknown_version)
   }
 }
 
@@ -48,7 +48,7 @@
   let owner: Team = "team".parse().expect("a name");
   let name: PolicyName = "policy".parse().expect("a name");
   let policy = Policy { attempts: 1, deadline_ms: 1, owner: owner.clone(), queue_length: 1 };
-  let revision = Patch::REVISION;
+  let revision = Patch::SOURCE_REVISION;
   configuration.policies.insert(name.clone(), Revised { revision, value: policy });
   for index in 0..count {
     let value = Service {
--- a/tests/support/read_once.rs
+++ b/tests/support/read_once.rs
@@ -2,7 +2,7 @@
 
 use {
   ferryyoke::{
-    configuration::{Configuration, Source, Unreadable},
+    configuration::{Configuration, Source, ParseError},
     store::Key,
   },
   std::{collections::BTreeMap, sync::Mutex},
@@ -11,7 +11,7 @@
 /// Reads as another source does, and remembers what it read.
 #[derive(Debug)]
 pub struct ReadOnce<S> {
-  read: Mutex<BTreeMap<String, Result<Configuration, Unreadable>>>,
+  read: Mutex<BTreeMap<String, Result<Configuration, ParseError>>>,
   source: S,
 }
 
@@ -26,7 +26,7 @@
     self.source.key()
   }
 
-  fn read(&self, value: &str) -> Result<Configuration, Unreadable> {
+  fn read(&self, value: &str) -> Result<Configuration, ParseError> {
     let mut read = self.read.lock().expect("no test panicked here");
     read.entry(value.to_owned()).or_insert_with(|| self.source.read(value)).clone()
   }
--- a/tests/support/rollout_world.rs
+++ b/tests/support/rollout_world.rs
@@ -140,7 +140,7 @@
   /// Starts a box with a backend server of this version.
   pub fn start(&mut self, index: usize, software: &str) {
     let clock_ms = self.fleet.now;
-    self.fleet.start_beside(index, clock_ms, EndpointState::Live);
+    self.fleet.start_with_state(index, clock_ms, EndpointState::Live);
     let serves = Event::EndpointServes {
       service: service(),
       slots: SLOTS,
@@ -336,7 +336,7 @@
     let indexes: Vec<usize> = self.servers.keys().copied().collect();
     for index in indexes {
       let box_id = Followers::box_id(index);
-      if !self.fleet.runs(index) || self.fleet.frozen.contains(&box_id) {
+      if !self.fleet.runs(index) || self.fleet.paused.contains(&box_id) {
         continue;
       }
       let Some(evidence) = self.evidence_of(index, now) else {
--- a/tests/support/world.rs
+++ b/tests/support/world.rs
@@ -4,8 +4,8 @@
   super::oracle::Oracle,
   ferryyoke::{
     configuration::{
-      AcceptedChange, Change, Handling, Head, Object, ObjectName, Operation, Policy, Route,
-      Service, Summary,
+      AcceptedChange, Change, ChangeSummary, Handling, Head, Object, ObjectName, Operation, Policy,
+      Route, Service,
     },
     distribution::{
       Acceptance, AcceptanceStep, Action, Distributor, Event, Identity, LinkId, Message, Moment,
@@ -35,7 +35,7 @@
 }
 
 #[derive(Debug)]
-enum Happening {
+enum ScheduledEvent {
   Answer { caller: Caller, result: store::Result<Reply> },
   Event { event: Event, index: usize, life: u64 },
   Execute { answers: bool, caller: Caller, request: StoreRequest },
@@ -48,7 +48,7 @@
   /// The state machine; `None` while the box is down.
   pub distributor: Option<Distributor>,
   /// When the pause of the box's process ends.
-  frozen_until: u64,
+  paused_until: u64,
   pub life: u64,
   pub peer: Peer,
   /// The state of its backend server.
@@ -111,7 +111,7 @@
   last_link: LinkId,
   pub now: u64,
   pub oracle: Oracle,
-  queue: BTreeMap<(u64, u64), Happening>,
+  queue: BTreeMap<(u64, u64), ScheduledEvent>,
   /// Additional latency between two regions in milliseconds. Two data halls make a region.
   pub region_delay_ms: u64,
   rng: ChaCha8Rng,
@@ -130,7 +130,7 @@
     };
     let boxes = (0..boxes).map(|index| SimBox {
       distributor: None,
-      frozen_until: 0,
+      paused_until: 0,
       life: 0,
       peer: peer(index),
       state: EndpointState::Live,
@@ -160,9 +160,9 @@
     world
   }
 
-  fn later(&mut self, delay_ms: u64, happening: Happening) {
+  fn schedule(&mut self, delay_ms: u64, event: ScheduledEvent) {
     self.sequence += 1;
-    self.queue.insert((self.now + delay_ms, self.sequence), happening);
+    self.queue.insert((self.now + delay_ms, self.sequence), event);
   }
 
   fn moment(&self) -> Moment {
@@ -178,7 +178,7 @@
     let (now, seed) = (self.moment(), self.rng.random());
     let one = &mut self.boxes[index];
     one.life += 1;
-    one.frozen_until = 0;
+    one.paused_until = 0;
     let endpoint = Endpoint {
       backend_starts: 0,
       findings: Vec::new(),
@@ -202,7 +202,7 @@
     };
     one.distributor = Some(Distributor::new(now, seed, identity));
     let life = one.life;
-    self.later(1, Happening::Tick { index, life });
+    self.schedule(1, ScheduledEvent::Tick { index, life });
   }
 
   /// Crashes a box. Its neighbours see their links close, unless it crashes silently.
@@ -231,8 +231,8 @@
   }
 
   /// Pauses a box's process for some time. Events are handled after the pause.
-  pub fn freeze(&mut self, index: usize, duration_ms: u64) {
-    self.boxes[index].frozen_until = self.now + duration_ms;
+  pub fn pause(&mut self, index: usize, duration_ms: u64) {
+    self.boxes[index].paused_until = self.now + duration_ms;
   }
 
   /// Cuts one of the open links.
@@ -251,11 +251,12 @@
 
   fn notify_closed(&mut self, (index, life, link): (usize, u64, LinkId)) {
     let delay_ms = self.rng.random_range(1..50);
-    self.later(delay_ms, Happening::Event { event: Event::LinkClosed { link }, index, life });
+    self
+      .schedule(delay_ms, ScheduledEvent::Event { event: Event::LinkClosed { link }, index, life });
   }
 
   /// Delivers a message on one of the box's links that its peer did not send.
-  pub fn forge(&mut self, index: usize, message: Message) {
+  pub fn inject_message(&mut self, index: usize, message: Message) {
     let life = self.boxes[index].life;
     let own = self
       .connections
@@ -264,25 +265,25 @@
       .find_map(|one| one.ends.iter().find(|end| end.0 == index && end.1 == life));
     if let Some((.., link)) = own {
       let event = Event::Received { link: *link, message };
-      self.later(1, Happening::Event { event, index, life });
+      self.schedule(1, ScheduledEvent::Event { event, index, life });
     }
   }
 
   /// A delta from the held version with a change that was never accepted and a wrong digest.
-  pub fn bent_delta(&mut self, index: usize) -> Option<Update> {
+  pub fn forged_delta(&mut self, index: usize) -> Option<Update> {
     let catalog = self.boxes[index].distributor.as_ref()?.catalog();
     let base = catalog.version()?;
     let summary = catalog.history().last()?.clone();
     let change = AcceptedChange {
       digest: catalog.digest()?,
       operations: vec![put_service(9)],
-      summary: Summary { version: base.next(), ..summary },
+      summary: ChangeSummary { version: base.next(), ..summary },
     };
     Some(Update::Delta { base, base_digest: catalog.digest()?, changes: vec![change] })
   }
 
   /// The snapshot that a box would send to one that holds nothing, with altered content.
-  pub fn bent_update(&mut self, index: usize) -> Option<Update> {
+  pub fn forged_snapshot(&mut self, index: usize) -> Option<Update> {
     let catalog = self.boxes[index].distributor.as_ref()?.catalog();
     let update = catalog.update_for(None)?;
     let Update::Snapshot { changes, configuration, digest, history } = update else {
@@ -295,7 +296,7 @@
   }
 
   /// Submits an operator's change to a box. Does nothing if the box holds no configuration.
-  pub fn state_change(&mut self, index: usize, operations: Vec<Operation>) {
+  pub fn submit_change(&mut self, index: usize, operations: Vec<Operation>) {
     let Some(distributor) = &self.boxes[index].distributor else {
       return;
     };
@@ -314,17 +315,17 @@
       team: "team".parse().expect("a name"),
       unix_ms: self.now,
     };
-    self.oracle.stated(&change);
+    self.oracle.submitted(&change);
     let id = change.id.clone();
     let life = self.boxes[index].life;
     let deadline = Time(self.now + 5_000);
     let mut acceptance = Acceptance::new(change, Some(held), deadline, self.rng.random());
     let step = acceptance.resumed();
     self.changes.push(SimChange { acceptance, at: (index, life), id, is_ended: false });
-    self.carry_change(self.changes.len() - 1, step);
+    self.perform_step(self.changes.len() - 1, step);
   }
 
-  fn carry_change(&mut self, change: usize, step: AcceptanceStep) {
+  fn perform_step(&mut self, change: usize, step: AcceptanceStep) {
     match step {
       AcceptanceStep::Call(request) => self.call_store(Caller::Change(change), request),
       AcceptanceStep::Done(outcome) => {
@@ -340,7 +341,9 @@
           Outcome::Unknown { .. } => {}
         }
       }
-      AcceptanceStep::Wait { pause_ms } => self.later(pause_ms, Happening::Resume { change }),
+      AcceptanceStep::Wait { pause_ms } => {
+        self.schedule(pause_ms, ScheduledEvent::Resume { change });
+      }
     }
   }
 
@@ -353,17 +356,17 @@
       } else {
         unknown()
       };
-      return self.later(20, Happening::Answer { caller, result });
+      return self.schedule(20, ScheduledEvent::Answer { caller, result });
     }
     let delay_ms = self.rng.random_range(1..5) + self.faults.store_slow_ms;
     let loses = self.rng.random_range(0..100) < self.faults.lost_answers;
     let too_slow = delay_ms >= STORE_TIMEOUT_MS;
     if loses || too_slow {
       let timeout_ms = STORE_TIMEOUT_MS + request.wait_ms();
-      self.later(timeout_ms, Happening::Answer { caller, result: unknown() });
+      self.schedule(timeout_ms, ScheduledEvent::Answer { caller, result: unknown() });
     }
     let answers = !loses && !too_slow;
-    self.later(delay_ms, Happening::Execute { answers, caller, request });
+    self.schedule(delay_ms, ScheduledEvent::Execute { answers, caller, request });
   }
 
   /// Whether a caller cannot reach the store.
@@ -386,9 +389,9 @@
     }
     let before = self.keyspace.revision();
     let result = self.keyspace.call(Time(self.now), &request).map_err(store::Error::Refused);
-    self.note_write(&request, &result);
+    self.record_head_write(&request, &result);
     if answers {
-      self.later(1, Happening::Answer { caller, result });
+      self.schedule(1, ScheduledEvent::Answer { caller, result });
     }
     if self.keyspace.revision() != before {
       self.wake_watches();
@@ -396,7 +399,7 @@
   }
 
   /// Tells the oracle when the head was written.
-  fn note_write(&mut self, request: &StoreRequest, result: &store::Result<Reply>) {
+  fn record_head_write(&mut self, request: &StoreRequest, result: &store::Result<Reply>) {
     use StoreRequest::{CompareAndSwap, Create};
     let (CompareAndSwap { key, value, .. } | Create { key, value, .. }) = request else {
       return;
@@ -412,7 +415,7 @@
     for one in waiting {
       if self.is_cut_off(one.caller) {
         let result = Err(store::Error::Unknown { reason: "the connection broke".into() });
-        self.later(1, Happening::Answer { caller: one.caller, result });
+        self.schedule(1, ScheduledEvent::Answer { caller: one.caller, result });
         continue;
       }
       let result = self.keyspace.call(Time(self.now), &one.request);
@@ -423,12 +426,13 @@
         self.waiting.push(one);
         continue;
       }
-      let result = result.map(|reply| self.bend(reply)).map_err(store::Error::Refused);
-      self.later(1, Happening::Answer { caller: one.caller, result });
+      let result =
+        result.map(|reply| self.inject_watch_faults(reply)).map_err(store::Error::Refused);
+      self.schedule(1, ScheduledEvent::Answer { caller: one.caller, result });
     }
   }
 
-  fn bend(&mut self, reply: Reply) -> Reply {
+  fn inject_watch_faults(&mut self, reply: Reply) -> Reply {
     let Reply::Changes { mut events, revision } = reply else {
       return reply;
     };
@@ -446,33 +450,35 @@
   /// Runs the simulation until `until`.
   pub fn run_until(&mut self, until: u64) {
     while let Some(entry) = self.queue.first_entry().filter(|entry| entry.key().0 <= until) {
-      let ((at, _), happening) = entry.remove_entry();
+      let ((at, _), event) = entry.remove_entry();
       self.now = at.max(self.now);
-      self.happen(happening);
+      self.process(event);
     }
     self.now = until;
   }
 
-  fn happen(&mut self, happening: Happening) {
-    match happening {
-      Happening::Answer { caller: Caller::Change(change), result } => {
+  fn process(&mut self, event: ScheduledEvent) {
+    match event {
+      ScheduledEvent::Answer { caller: Caller::Change(change), result } => {
         if !self.changes[change].is_ended {
           let step = self.changes[change].acceptance.answered(Time(self.now), result);
-          self.carry_change(change, step);
+          self.perform_step(change, step);
         }
       }
-      Happening::Answer { caller: Caller::Distributor { call, index, life }, result } => {
+      ScheduledEvent::Answer { caller: Caller::Distributor { call, index, life }, result } => {
         self.handle(index, life, Event::StoreAnswered { call, era: Era::default(), result });
       }
-      Happening::Event { event, index, life } => self.handle(index, life, event),
-      Happening::Execute { answers, caller, request } => self.execute(answers, caller, request),
-      Happening::Resume { change } => {
+      ScheduledEvent::Event { event, index, life } => self.handle(index, life, event),
+      ScheduledEvent::Execute { answers, caller, request } => {
+        self.execute(answers, caller, request);
+      }
+      ScheduledEvent::Resume { change } => {
         let step = self.changes[change].acceptance.resumed();
-        self.carry_change(change, step);
+        self.perform_step(change, step);
       }
-      Happening::Tick { index, life } => {
+      ScheduledEvent::Tick { index, life } => {
         if self.boxes[index].life == life && self.boxes[index].distributor.is_some() {
-          self.later(Distributor::TICK_MS, Happening::Tick { index, life });
+          self.schedule(Distributor::TICK_MS, ScheduledEvent::Tick { index, life });
           if index == 0 {
             self.expire_store();
           }
@@ -492,10 +498,10 @@
     if one.life != life || one.distributor.is_none() {
       return;
     }
-    if one.frozen_until > self.now {
+    if one.paused_until > self.now {
       if !matches!(event, Event::Tick) {
-        let delay_ms = one.frozen_until - self.now;
-        self.later(delay_ms, Happening::Event { event, index, life });
+        let delay_ms = one.paused_until - self.now;
+        self.schedule(delay_ms, ScheduledEvent::Event { event, index, life });
       }
       return;
     }
@@ -525,7 +531,7 @@
       Action::CloseLink { link } => self.close(index, link),
       Action::Consult { id, .. } => {
         let event = Event::Consulted { id, reports: Vec::new() };
-        self.later(1, Happening::Event { event, index, life });
+        self.schedule(1, ScheduledEvent::Event { event, index, life });
       }
       Action::OpenLink(peer) => self.open(index, life, &peer.box_id),
       Action::Send { link, message } => self.send(index, link, message),
@@ -542,7 +548,7 @@
       .filter(|other| self.boxes[*other].distributor.is_some() && !self.is_blocked(index, *other));
     let Some(other) = reachable else {
       let event = Event::LinkFailed { box_id: target.clone() };
-      return self.later(5, Happening::Event { event, index, life });
+      return self.schedule(5, ScheduledEvent::Event { event, index, life });
     };
     let links = [self.last_link.next(), self.last_link.next().next()];
     self.last_link = links[1];
@@ -554,7 +560,7 @@
     for (side, (at, at_life, link)) in ends.into_iter().enumerate() {
       let peer = self.boxes[ends[1 - side].0].peer.box_id.clone();
       let event = Event::LinkOpened { link, outbound: side == 0, peer };
-      self.later(delay_ms, Happening::Event { event, index: at, life: at_life });
+      self.schedule(delay_ms, ScheduledEvent::Event { event, index: at, life: at_life });
     }
   }
 
@@ -601,7 +607,7 @@
     self.connections[at].last_at[1 - side] = arrives;
     let event = Event::Received { link: other.2, message };
     let delay_ms = arrives - self.now;
-    self.later(delay_ms, Happening::Event { event, index: other.0, life: other.1 });
+    self.schedule(delay_ms, ScheduledEvent::Event { event, index: other.0, life: other.1 });
   }
 
   /// Ends all faults and starts every box that is down.
