--- a/src/configuration/configuration.rs
+++ b/src/configuration/configuration.rs
@@ -1,14 +1,15 @@
 use super::*;
 
-/// One whole, numbered version of everything the operators decided.
+/// One complete, numbered version of everything that operators configure.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Configuration {
-  /// Boxes that receive no new work.
+  /// Boxes that receive no new requests.
   pub drains: BTreeMap<BoxId, Revised<Drain>>,
-  /// What callers may send.
+  /// Limits on callers' requests.
   #[serde(default, skip_serializing_if = "Option::is_none")]
   pub limits: Option<CallerLimits>,
-  /// Organisations. Where there are any, each request carries a key of one, but on public routes.
+  /// Organisations. If there are any, each request must carry a key of one, except on public
+  /// routes.
   #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
   pub organisations: BTreeMap<OrganisationName, Revised<Organisation>>,
   /// Backend server policies.
@@ -22,12 +23,16 @@
 }
 
 impl Configuration {
-  /// Makes the next version out of `change`, checked whole. `self` stays as it is.
+  /// Validates `change` against this version and returns it as the change to the next version.
   ///
-  /// `history` names the author of a conflicting change.
-  pub fn accept(&self, change: &Change, history: &[Summary]) -> Result<AcceptedChange> {
+  /// `history` serves to name the author of a conflicting change.
+  ///
+  /// # Errors
+  ///
+  /// Fails if the change conflicts, or if its result is invalid or too large for the store.
+  pub fn accept(&self, change: &Change, history: &[ChangeSummary]) -> Result<AcceptedChange> {
     if change.operations.is_empty() {
-      return Err(Error::Empty);
+      return Err(Error::NoOperations);
     }
     if let Some(demanded) = change.only_at.filter(|demanded| *demanded != self.version) {
       return Err(Error::VersionMoved { demanded, newest: self.version });
@@ -35,36 +40,42 @@
     for operation in &change.operations {
       self.check_conflict(&operation.target(), change.base, history)?;
     }
-    let next = self.after(self.version.next(), &change.operations)?;
+    let next = self.with_operations(self.version.next(), &change.operations)?;
     next.validate()?;
     next.check_size()?;
     Ok(AcceptedChange {
       digest: next.digest(),
       operations: change.operations.clone(),
-      summary: Summary::of(change, next.version),
+      summary: ChangeSummary::of(change, next.version),
     })
   }
 
-  /// The configuration that `change` makes of this one, proved by its digest.
+  /// Returns the configuration after `change`. Fails if an operation does, or the digest differs.
   pub fn apply(&self, change: &AcceptedChange) -> Result<Self> {
-    let next = self.after(change.version(), &change.operations)?;
+    let next = self.with_operations(change.version(), &change.operations)?;
     if next.digest() != change.digest {
-      return Err(Error::Digest { version: change.version() });
+      return Err(Error::DigestMismatch { version: change.version() });
     }
     Ok(next)
   }
 
-  pub(super) fn after(&self, version: Version, operations: &[Operation]) -> Result<Self> {
+  pub(super) fn with_operations(&self, version: Version, operations: &[Operation]) -> Result<Self> {
     let mut next = self.clone();
     next.version = version;
     for operation in operations {
-      next.step(operation)?;
+      next.apply_operation(operation)?;
     }
     Ok(next)
   }
 
-  fn check_conflict(&self, object: &ObjectName, base: Version, history: &[Summary]) -> Result {
-    let touching = |summary: &&Summary| summary.version > base && summary.touched.contains(object);
+  fn check_conflict(
+    &self,
+    object: &ObjectName,
+    base: Version,
+    history: &[ChangeSummary],
+  ) -> Result {
+    let touching =
+      |summary: &&ChangeSummary| summary.version > base && summary.touched.contains(object);
     let by = history.iter().rev().find(touching);
     let changed = self.revision(object).is_some_and(|revision| revision > base);
     if by.is_none() && !changed {
@@ -73,12 +84,12 @@
     Err(Error::Conflict { by: by.cloned().map(Box::new), object: object.clone() })
   }
 
-  /// The digest of the whole, encoded form.
+  /// The digest of the encoded configuration.
   pub fn digest(&self) -> Digest {
     Digest::of(self.encode().as_bytes())
   }
 
-  /// The whole as JSON. Equal configurations give equal text.
+  /// Encodes the configuration as JSON. Equal configurations give equal text.
   pub fn encode(&self) -> String {
     to_json(self)
   }
@@ -115,7 +126,7 @@
     drains.chain(organisations).chain(policies).chain(routes).chain(services).collect()
   }
 
-  /// How many objects there are.
+  /// The number of objects.
   pub fn object_count(&self) -> usize {
     let organisations = self.organisations.len();
     self.drains.len()
@@ -142,7 +153,7 @@
     }
   }
 
-  fn step(&mut self, operation: &Operation) -> Result {
+  fn apply_operation(&mut self, operation: &Operation) -> Result {
     match operation {
       Operation::Delete(name) => self.remove(name),
       Operation::Put(object) => {
@@ -182,23 +193,23 @@
       ObjectName::Service(name) => self.services.remove(name).is_some(),
     };
     if !removed {
-      return Err(Error::Missing { object: name.clone() });
+      return Err(Error::UnknownObject { object: name.clone() });
     }
     Ok(())
   }
 
-  /// Checks that every reference resolves and limits are sane.
+  /// Checks that every reference resolves and that numbers are within their limits.
   ///
-  /// The size is no part of it: only who writes a version into the store must make it fit there. Who is
-  /// told of an accepted version may hold it in a longer form, and refusing it for that would leave the
-  /// box with the version before for good.
+  /// The size is not checked: only a writer must make a version fit the store. A reader's encoding
+  /// of an accepted version may be longer, and refusing it would leave the box at the previous
+  /// version for good.
   pub fn validate(&self) -> Result {
     self.validate_policies()?;
     self.validate_services()?;
     self.validate_routes()
   }
 
-  /// Checks that the whole fits the store, as who writes it must.
+  /// Checks that the encoded configuration fits the store. Needed before it is written.
   fn check_size(&self) -> Result {
     let bytes = self.encode().len();
     if bytes > ENCODED_BYTES_MAX {
@@ -211,17 +222,17 @@
     for (name, policy) in &self.policies {
       let object = || ObjectName::Policy(name.clone());
       if !(1..=10).contains(&policy.value.attempts) {
-        return Err(Error::Limit { allowed: "1 to 10", field: "attempts", object: object() });
+        return Err(Error::OutOfRange { allowed: "1 to 10", field: "attempts", object: object() });
       }
       if !(1..=86_400_000).contains(&policy.value.deadline_ms) {
-        return Err(Error::Limit {
+        return Err(Error::OutOfRange {
           allowed: "1 to 86400000",
           field: "deadline_ms",
           object: object(),
         });
       }
       if policy.value.queue_length > 10_000 {
-        return Err(Error::Limit {
+        return Err(Error::OutOfRange {
           allowed: "0 to 10000",
           field: "queue_length",
           object: object(),
@@ -236,20 +247,20 @@
     for (name, route) in &self.routes {
       let object = || ObjectName::Route(name.clone());
       if !route.value.path_prefix.starts_with('/') || route.value.path_prefix.len() > 1_000 {
-        return Err(Error::Limit {
+        return Err(Error::OutOfRange {
           allowed: "1 to 1000 characters that start with `/`",
           field: "path_prefix",
           object: object(),
         });
       }
       if let Some(missing) = route.value.services().find(|one| !self.services.contains_key(*one)) {
-        return Err(Error::Reference {
+        return Err(Error::BrokenReference {
           object: object(),
           target: ObjectName::Service(missing.clone()),
         });
       }
-      if let Some(first) = seen.insert(route.value.conditions(), name) {
-        return Err(Error::Shadowed { first: first.clone(), second: name.clone() });
+      if let Some(first) = seen.insert(route.value.match_conditions(), name) {
+        return Err(Error::DuplicateRoute { first: first.clone(), second: name.clone() });
       }
     }
     Ok(())
@@ -258,7 +269,7 @@
   fn validate_services(&self) -> Result {
     for (name, service) in &self.services {
       if !self.policies.contains_key(&service.value.policy) {
-        return Err(Error::Reference {
+        return Err(Error::BrokenReference {
           object: ObjectName::Service(name.clone()),
           target: ObjectName::Policy(service.value.policy.clone()),
         });
--- a/src/configuration/mod.rs
+++ b/src/configuration/mod.rs
@@ -1,7 +1,8 @@
-//! The configuration: routes, services, organisations, backend server policies and drains, as one numbered whole.
+//! The configuration: routes, services, organisations, backend server policies and drains,
+//! versioned as a whole.
 //!
-//! Everything here is pure. A [`Change`] turns one [`Configuration`] into the next; the store's
-//! [`Head`] records which changes were accepted, in order.
+//! Nothing here does I/O. A [`Change`] turns one [`Configuration`] into the next. The [`Head`] in
+//! the store records the accepted changes in order.
 
 use super::*;
 
@@ -9,16 +10,17 @@
 
 pub use self::{
   accepted_change::AcceptedChange, caller_limits::CallerLimits, change::Change,
-  cold_start::ColdStart, configuration::Configuration, drain::Drain, error::Error,
-  handling::Handling, head::Head, object::Object, object_name::ObjectName, operation::Operation,
-  organisation::Organisation, patch::Patch, policy::Policy, rate_limit::RateLimit,
-  revised::Revised, route::Route, service::Service, source::Source, summary::Summary,
-  unreadable::Unreadable, weighted_service::WeightedService,
+  change_summary::ChangeSummary, cold_start::ColdStart, configuration::Configuration, drain::Drain,
+  error::Error, handling::Handling, head::Head, object::Object, object_name::ObjectName,
+  operation::Operation, organisation::Organisation, parse_error::ParseError, patch::Patch,
+  policy::Policy, rate_limit::RateLimit, revised::Revised, route::Route, service::Service,
+  source::Source, weighted_service::WeightedService,
 };
 
 mod accepted_change;
 mod caller_limits;
 mod change;
+mod change_summary;
 mod cold_start;
 #[allow(clippy::module_inception)]
 mod configuration;
@@ -30,6 +32,7 @@
 mod object_name;
 mod operation;
 mod organisation;
+mod parse_error;
 mod patch;
 mod policy;
 mod rate_limit;
@@ -37,13 +40,11 @@
 mod route;
 mod service;
 mod source;
-mod summary;
-mod unreadable;
 mod weighted_service;
 
-/// Result of a step on the configuration.
+/// Result of an operation on the configuration.
 pub type Result<T = (), E = Error> = std::result::Result<T, E>;
 
-/// Largest encoded configuration in bytes that may be written: what the store's value of one megabyte
-/// holds.
+/// Largest encoded configuration in bytes that may be written: the store holds values of up to one
+/// megabyte.
 pub const ENCODED_BYTES_MAX: usize = 1_000_000;
--- a/src/distribution/catalog.rs
+++ b/src/distribution/catalog.rs
@@ -10,7 +10,7 @@
   /// The lowest version that this box may apply.
   floor: Version,
   /// The newest changes, oldest first; if not empty, the last one leads to the held version.
-  history: Vec<Summary>,
+  history: Vec<ChangeSummary>,
   /// The last patches, oldest first, each based on the previous one's version; if not empty, the
   /// last one leads to the held version.
   patches: VecDeque<Patch>,
@@ -53,7 +53,7 @@
   }
 
   /// Returns the newest changes that led to the held version, oldest first.
-  pub fn history(&self) -> &[Summary] {
+  pub fn history(&self) -> &[ChangeSummary] {
     &self.history
   }
 
@@ -143,8 +143,8 @@
     }
     let digest = configuration.digest();
     let held = self.configuration.clone().zip(self.digest);
-    let patch = held
-      .map(|(held, held_digest)| Patch::between((&held, held_digest), (&configuration, digest)));
+    let patch =
+      held.map(|(held, held_digest)| Patch::diff((&held, held_digest), (&configuration, digest)));
     match patch {
       Some(patch) => self.remember_patch(patch),
       None => self.patches.clear(),
@@ -204,12 +204,12 @@
     &mut self,
     configuration: Arc<Configuration>,
     digest: Digest,
-    history: Vec<Summary>,
+    history: Vec<ChangeSummary>,
     changes: Vec<AcceptedChange>,
   ) -> Result {
     let version = configuration.version;
     if configuration.digest() != digest {
-      return Err(configuration::Error::Digest { version }.into());
+      return Err(configuration::Error::DigestMismatch { version }.into());
     }
     let next = follow(configuration, &changes)?;
     next.validate()?;
--- a/src/distribution/distributor/relaying.rs
+++ b/src/distribution/distributor/relay_list.rs
@@ -1,15 +1,16 @@
 use super::*;
 
-/// Knowing the relays, and telling others of them.
+/// Maintains the list of relays and announces it to others.
 impl Distributor {
-  /// Takes over what a neighbour knows of the relays. A relay knows better, from the store.
+  /// Replaces the list of relays by a neighbour's. A relay ignores it, because it has the store's
+  /// list.
   pub(super) fn learn_relays(&mut self, relays: Relays) {
     if !self.is_relay() && !relays.0.is_empty() {
       self.relays = relays;
     }
   }
 
-  /// A fresh relay tells its data hall of itself, so that the others need not ask the store.
+  /// Announces a new relay to the boxes of its data hall, so that they need not read the store.
   pub(super) fn announce_relay(&mut self) {
     let own = self.own.peer.clone();
     let linked: BTreeSet<&BoxId> =
@@ -26,12 +27,12 @@
       .collect();
     for peer in known {
       self.announcing.insert(peer.box_id.clone());
-      self.act(Action::OpenLink(peer));
+      self.push_action(Action::OpenLink(peer));
     }
   }
 
-  /// A box that has no relay hears of one.
-  fn relay_announced(&mut self, link: LinkId, relays: Relays) {
+  /// Handles the announcement of a relay; ignored by a box that a relay serves.
+  fn relay_announcement_received(&mut self, link: LinkId, relays: Relays) {
     if !self.is_served_by_relay() {
       self.learn_relays(relays);
       self.upstream.relay_found(self.now.time, &mut self.rng);
@@ -41,19 +42,20 @@
 
   pub(super) fn relays_received(&mut self, link: LinkId, relays: Relays) {
     if self.links.get(&link).is_some_and(|known| known.role == LinkRole::Pending) {
-      self.relay_announced(link, relays);
+      self.relay_announcement_received(link, relays);
       return;
     }
     if self.upstream.link() != Some(link) {
       return;
     }
     self.learn_relays(relays);
-    self.tell_relays();
+    self.send_relays();
   }
 
-  /// Tells the subscribers which relays there are.
-  pub(super) fn tell_relays(&mut self) {
-    let links: Vec<LinkId> = self.settled_links(LinkRole::Downstream).map(|(id, _)| id).collect();
+  /// Sends the list of relays to the subscribers.
+  pub(super) fn send_relays(&mut self) {
+    let links: Vec<LinkId> =
+      self.established_links(LinkRole::Downstream).map(|(id, _)| id).collect();
     for link in links {
       self.send(link, Message::Relays(self.relays.clone()));
     }
--- a/src/distribution/distributor/pushing.rs
+++ b/src/distribution/distributor/updates.rs
@@ -1,14 +1,15 @@
 use super::*;
 
-/// Beats, and updates from neighbour to neighbour.
+/// Exchanges heartbeats and configuration updates with neighbours.
 impl Distributor {
-  /// Milliseconds for which a relay leaves it to the store to bring another relay up to date.
+  /// Milliseconds that other relays get to read a new version from the store before it is sent to
+  /// them.
   const MESH_PUSH_DELAY_MS: u64 = 300;
-  /// Unsound updates on one link after which another source is tried.
-  const REFUSALS_MAX: u32 = 2;
+  /// Invalid updates on one link after which another daemon is subscribed to.
+  const INVALID_UPDATES_MAX: u32 = 2;
 
-  fn beat(&self) -> Heartbeat {
-    let is_new = self.now.time.since_ms(self.switched_at) < 2 * self.identity.timing.heartbeat_ms;
+  fn heartbeat(&self) -> Heartbeat {
+    let is_new = self.now.time.since_ms(self.applied_at) < 2 * self.identity.timing.heartbeat_ms;
     Heartbeat {
       applied_unix_ms: is_new.then(|| self.applied_unix_ms()),
       endpoints_fingerprint: self.endpoints.fingerprint(),
@@ -25,8 +26,8 @@
     self.confirmed_at.map(|at| self.now.time.since_ms(at))
   }
 
-  pub(super) fn send_beats(&mut self, to: impl Fn(&Link) -> bool) {
-    let beat = self.beat();
+  pub(super) fn send_heartbeats(&mut self, to: impl Fn(&Link) -> bool) {
+    let heartbeat = self.heartbeat();
     let links: Vec<LinkId> = self
       .links
       .iter()
@@ -34,25 +35,25 @@
       .map(|(id, _)| *id)
       .collect();
     for link in links {
-      self.send(link, Message::Heartbeat(beat.clone()));
+      self.send(link, Message::Heartbeat(heartbeat.clone()));
     }
   }
 
-  pub(super) fn beat_received(&mut self, link: LinkId, beat: &Heartbeat) {
-    self.note_version(link, beat.version);
+  pub(super) fn heartbeat_received(&mut self, link: LinkId, heartbeat: &Heartbeat) {
+    self.record_version(link, heartbeat.version);
     let Some(known) = self.links.get_mut(&link) else {
       return;
     };
-    known.applied_unix_ms = beat.applied_unix_ms.unwrap_or(known.applied_unix_ms);
-    known.is_relay = beat.is_relay;
-    known.store_age_ms = beat.store_age_ms;
+    known.applied_unix_ms = heartbeat.applied_unix_ms.unwrap_or(known.applied_unix_ms);
+    known.is_relay = heartbeat.is_relay;
+    known.store_age_ms = heartbeat.store_age_ms;
     let role = known.role;
     let peer = known.peer.clone();
     if self.upstream.link() == Some(link) {
       self.upstream.reset_failures();
     }
-    self.compare_endpoints(link, beat.endpoints_fingerprint);
-    let Some((version, prefix)) = beat.version else {
+    self.compare_endpoints(link, heartbeat.endpoints_fingerprint);
+    let Some((version, prefix)) = heartbeat.version else {
       return;
     };
     if self.catalog.held().is_some_and(|held| held.0 == version && held.1 != prefix) {
@@ -60,12 +61,12 @@
       return;
     }
     let is_source = matches!(role, LinkRole::Mesh | LinkRole::Upstream);
-    if let Some(age_ms) = beat.store_age_ms.filter(|_| is_source) {
+    if let Some(age_ms) = heartbeat.store_age_ms.filter(|_| is_source) {
       self.confirm(version, age_ms);
     }
   }
 
-  /// The store was known `age_ms` ago to have `version` as its newest.
+  /// Records that `version` was the store's newest one `age_ms` milliseconds ago.
   pub(super) fn confirm(&mut self, version: Version, age_ms: u64) {
     if self.catalog.version() != Some(version) {
       return;
@@ -74,78 +75,78 @@
     self.confirmed_at = self.confirmed_at.max(Some(at));
   }
 
-  pub(super) fn note_version(&mut self, link: LinkId, version: Option<(Version, u32)>) {
+  pub(super) fn record_version(&mut self, link: LinkId, version: Option<(Version, u32)>) {
     let Some(known) = self.links.get_mut(&link) else {
       return;
     };
     known.version = version;
     if let Some((version, _)) = version {
       known.refusal = known.refusal.take().filter(|_| Some(version) < self.catalog.version());
-      let record = self.records.entry(known.peer.clone()).or_default();
+      let record = self.known_versions.entry(known.peer.clone()).or_default();
       *record = version.max(*record);
     }
   }
 
-  pub(super) fn note_applied(&mut self, link: LinkId, unix_ms: u64) {
+  pub(super) fn record_applied(&mut self, link: LinkId, unix_ms: u64) {
     if let Some(link) = self.links.get_mut(&link) {
       link.applied_unix_ms = unix_ms;
     }
   }
 
-  /// Takes in an update as it crossed a link.
-  pub(super) fn packed_received(&mut self, link: LinkId, packed: &PackedUpdate) {
+  /// Unpacks and handles an update from a neighbour.
+  pub(super) fn packed_update_received(&mut self, link: LinkId, packed: &PackedUpdate) {
     match packed.unpack() {
       Ok(update) => self.update_received(link, update),
-      Err(err) => self.refuse(link, &err),
+      Err(err) => self.reject_update(link, &err),
     }
   }
 
-  /// Takes in an update from a neighbour.
+  /// Applies an update from a neighbour, or defers it while the floor is unknown.
   pub(super) fn update_received(&mut self, link: LinkId, update: Update) {
     let fresh = self.catalog.version().is_none();
     if fresh && !self.is_floor_known() {
-      let early = self.floor.early.as_ref().map(|(_, early)| early.version());
+      let early = self.floor_discovery.deferred_update.as_ref().map(|(_, early)| early.version());
       if early.is_none_or(|early| update.version() > early) {
-        self.floor.early = Some((link, update));
+        self.floor_discovery.deferred_update = Some((link, update));
       }
       return;
     }
     let from = self.links.get(&link).map(|link| link.peer.clone());
     match self.catalog.apply_update(update, from, self.now.unix_ms) {
       Ok(()) => {
-        // The sender holds what it sent, so it is not sent back.
-        self.note_version(link, self.catalog.held());
-        self.switched();
+        // The sender holds this version: do not send it back.
+        self.record_version(link, self.catalog.held());
+        self.version_applied();
       }
       Err(Error::Backwards { .. }) => {}
-      Err(err) => self.refuse(link, &err),
+      Err(err) => self.reject_update(link, &err),
     }
   }
 
-  /// An unsound update changes nothing. The sender is told, and left if it happens again.
-  fn refuse(&mut self, link: LinkId, err: &Error) {
+  /// Rejects an invalid update and reports it to the sender. Leaves the sender if that repeats.
+  fn reject_update(&mut self, link: LinkId, err: &Error) {
     self.log(format!("an update was refused: {err}"));
     let Some(known) = self.links.get_mut(&link) else {
       return;
     };
     known.invalid_updates += 1;
-    if known.invalid_updates >= Self::REFUSALS_MAX && self.upstream.link() == Some(link) {
+    if known.invalid_updates >= Self::INVALID_UPDATES_MAX && self.upstream.link() == Some(link) {
       self.drop_upstream();
       return;
     }
     self.send(link, Message::Refused { reason: err.to_string() });
   }
 
-  /// A neighbour refused an update: send the whole, but not again and again.
-  pub(super) fn update_refused(&mut self, link: LinkId, reason: String) {
+  /// Sends a snapshot to a neighbour that refused an update, at most once per resend interval.
+  pub(super) fn refusal_received(&mut self, link: LinkId, reason: String) {
     let resend_ms = self.resend_ms();
     let now = self.now.time;
     let Some(known) = self.links.get_mut(&link) else {
       return;
     };
     known.refusal = Some(reason);
-    let rested = known.snapshot_sent_at.is_none_or(|at| now.since_ms(at) >= resend_ms);
-    let Some(update) = self.catalog.packed_for(None).filter(|_| rested) else {
+    let is_due = known.snapshot_sent_at.is_none_or(|at| now.since_ms(at) >= resend_ms);
+    let Some(update) = self.catalog.packed_for(None).filter(|_| is_due) else {
       return;
     };
     known.snapshot_sent_at = Some(now);
@@ -153,21 +154,22 @@
     self.send(link, Message::Update(update));
   }
 
-  /// A newer version is in force here: tell those who sent it, and bring it to those who lack it.
-  pub(super) fn switched(&mut self) {
+  /// Handles a newly applied version: sends heartbeats upstream and schedules updates to
+  /// neighbours.
+  pub(super) fn version_applied(&mut self) {
     let Some(configuration) = self.catalog.configuration().cloned() else {
       return;
     };
-    self.act(Action::Apply(configuration));
-    self.switched_at = self.now.time;
+    self.push_action(Action::Apply(configuration));
+    self.applied_at = self.now.time;
     self.push_due = Some(self.now.time.after(self.identity.timing.update_delay_ms));
-    self.send_beats(|link| link.role != LinkRole::Downstream);
+    self.send_heartbeats(|link| link.role != LinkRole::Downstream);
     if self.identity.timing.update_delay_ms == 0 {
       self.push_updates();
     }
   }
 
-  /// Sends the newest version to every neighbour that lacks it, where the time has come.
+  /// Sends the newest version to every neighbour that lacks it, once it is due.
   pub(super) fn push_updates(&mut self) {
     if self.push_due.is_some_and(|due| self.now.time < due) {
       return;
@@ -175,8 +177,7 @@
     let Some(version) = self.catalog.version() else {
       return;
     };
-    let switched_at = self.push_due.take();
-    if switched_at.is_some() {
+    if self.push_due.take().is_some() {
       self.mesh_push_at = self.now.time.after(Self::MESH_PUSH_DELAY_MS);
     }
     let resend_ms = self.resend_ms();
--- a/src/distribution/error.rs
+++ b/src/distribution/error.rs
@@ -37,7 +37,7 @@
     held: Option<Version>,
   },
   /// A source holds a value that is not a configuration.
-  Unreadable(Unreadable),
+  Unreadable(ParseError),
   /// The directory holds a value that is not the entry of a box.
   UnreadableEntry(UnreadableEntry),
 }
--- a/src/distribution/mod.rs
+++ b/src/distribution/mod.rs
@@ -8,7 +8,7 @@
 
 use crate::{
   configuration::{
-    AcceptedChange, Change, Configuration, Head, Patch, Source, Summary, Unreadable,
+    AcceptedChange, Change, ChangeSummary, Configuration, Head, ParseError, Patch, Source,
   },
   fleet::{Endpoint, EndpointState, EndpointTable, Peer, RunFinding, RunOutcome},
   requests::RequestRecord,
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -7,8 +7,8 @@
 
 use crate::{
   configuration::{
-    CallerLimits, ColdStart, Configuration, Handling, Organisation, Patch, Policy, RateLimit,
-    Revised, Route, Service, Source, Unreadable, WeightedService,
+    CallerLimits, ColdStart, Configuration, Handling, Organisation, ParseError, Patch, Policy,
+    RateLimit, Revised, Route, Service, Source, WeightedService,
   },
   fleet::{BackendReport, Process, ReportOutcome},
   node::{Dialect, Node},
--- a/tests/foreign_entries.rs
+++ b/tests/foreign_entries.rs
@@ -23,12 +23,12 @@
 
 /// Returns the boxes that do not regard `other` as accepting requests.
 fn boxes_that_ignore(fleet: &Followers, other: usize) -> Vec<usize> {
-  fleet.lacking(BOXES, |fleet, index| fleet.sees_live(index, other))
+  fleet.boxes_failing(BOXES, |fleet, index| fleet.sees_live(index, other))
 }
 
 /// Returns values that are not valid entries of box `index`.
 fn corrupt_entries(fleet: &mut Followers, index: usize) -> Vec<Value> {
-  let whole = fleet.entry_of(index).expect("an entry");
+  let whole = fleet.box_entry(index).expect("an entry");
   let whole = whole.text().expect("text").to_string();
   let mut values: Vec<Value> = ["", "null", "[]", "{}", "7", "\u{0}"].map(Value::from).into();
   values.push(Value::unreadable("no text"));
@@ -53,7 +53,7 @@
     fleet.write_foreign("mesh/boxes/box-0", value.clone());
     fleet.run(READ_MS);
     assert_eq!(boxes_that_ignore(&fleet, 0), NOBODY, "{value:?}: {:#?}", fleet.logged);
-    assert!(fleet.entry_of(0).is_some_and(|entry| entry != value), "{value:?} was not replaced");
+    assert!(fleet.box_entry(0).is_some_and(|entry| entry != value), "{value:?} was not replaced");
     assert!(
       fleet.unreadable.iter().any(|(_, one)| one.key.as_str().ends_with("box-0")),
       "{value:?}"
@@ -66,7 +66,7 @@
 #[test]
 fn a_box_with_a_corrupt_entry_is_not_used_until_it_rewrites_the_entry() {
   let mut fleet = fleet();
-  fleet.frozen.insert(Followers::box_id(0));
+  fleet.paused.insert(Followers::box_id(0));
   fleet.write_foreign("mesh/boxes/box-0", Value::unreadable("no text"));
   fleet.run(3_500);
   let all_others: Vec<usize> = (1..BOXES).collect();
@@ -74,7 +74,7 @@
     boxes_that_ignore(&fleet, 0).into_iter().filter(|index| *index > 0).collect::<Vec<_>>(),
     all_others
   );
-  fleet.frozen.clear();
+  fleet.paused.clear();
   fleet.run(READ_MS);
   assert_eq!(boxes_that_ignore(&fleet, 0), NOBODY, "{:#?}", fleet.logged);
 }
@@ -89,7 +89,7 @@
     let clock_ms = fleet.now;
     fleet.start(BOXES + index, clock_ms);
     fleet.run(READ_MS);
-    let unseen = fleet.lacking(BOXES, |fleet, one| fleet.sees_live(one, BOXES + index));
+    let unseen = fleet.boxes_failing(BOXES, |fleet, one| fleet.sees_live(one, BOXES + index));
     assert_eq!(unseen, NOBODY, "{key}: {:#?}", fleet.logged);
   }
 }
--- a/tests/support/followers.rs
+++ b/tests/support/followers.rs
@@ -1,4 +1,4 @@
-//! A fleet of followers in virtual time, with a store that serves some boxes and not others.
+//! Simulates a fleet of followers in virtual time, with a store that can reject some of the boxes.
 
 use super::{
   lines::{self, Direction, Lines},
@@ -24,16 +24,16 @@
   },
 };
 
-/// Milliseconds of one step of the world.
+/// Milliseconds of one simulation step.
 const STEP_MS: u64 = 10;
-/// Milliseconds beyond its own wait after which a box gives up a watch without an answer.
-const PATIENCE_MS: u64 = 1_000;
-/// Milliseconds on the way until a call, or a message, arrives, beside its time on narrow links.
+/// Milliseconds beyond a watch's own wait after which its call fails without an answer.
+const WATCH_GRACE_MS: u64 = 1_000;
+/// Latency of an answer or message in milliseconds, in addition to its transmission time.
 const DELAY_MS: u64 = 10;
 
-/// What happens to a box, or what it does, at a time.
-enum Coming {
-  /// A call of the box's leaves its link.
+/// A scheduled event of a box.
+enum Scheduled {
+  /// A call to the store has left the box's link.
   Call {
     call: u64,
     request: StoreRequest,
@@ -44,77 +44,77 @@
     outbound: bool,
     peer: BoxId,
   },
-  /// So many bytes reach the box's link, and then what they tell happens. Until a time they are still
-  /// at their sender.
-  Parcel {
+  /// A transmission reaches the box's link. After its bytes have passed the link, the event in it
+  /// follows. Until `left_at_us`, the transmission is still queued at its sender.
+  Transmission {
     bytes: usize,
-    coming: Box<Coming>,
+    scheduled: Box<Scheduled>,
     left_at_us: u64,
     sender: Option<BoxId>,
   },
 }
 
-/// The fleet.
+/// A simulated fleet of followers.
 pub struct Followers {
-  /// Versions that boxes knew of before they held them.
+  /// Versions that boxes reported as newer than the one they held.
   pub behind: Vec<(BoxId, Version)>,
   boxes: BTreeMap<BoxId, Follower>,
-  /// By microsecond, and in order of sending.
-  coming: BTreeMap<(u64, u64), (BoxId, Coming)>,
-  /// The content that the store comes back with when it goes back.
-  copy: Keyspace,
-  /// How often the store went back.
+  /// By microsecond, then in order of scheduling.
+  scheduled: BTreeMap<(u64, u64), (BoxId, Scheduled)>,
+  /// The backup from which the store is restored.
+  backup: Keyspace,
+  /// How often the store was restored.
   era: Era,
-  /// The data halls that each box holds for evacuated.
+  /// The data halls that each box knows to be evacuated.
   evacuated: BTreeMap<BoxId, BTreeSet<DataHall>>,
-  /// Boxes whose process stands still.
-  pub frozen: BTreeSet<BoxId>,
+  /// Boxes whose process is paused.
+  pub paused: BTreeSet<BoxId>,
   keyspace: Keyspace,
   last: u64,
-  /// What the boxes say that their links carry, in Mbit/s, where nothing bounds these.
+  /// The link rate that boxes announce, in Mbit/s, if their links are not limited.
   pub link_mbps: u32,
-  /// Messages on links that told news about boxes.
+  /// Number of messages with endpoints on links.
   pub news_messages: usize,
-  /// Linearizable reads of lists.
-  pub newest_reads: usize,
-  /// What the store was when reads that may be old are answered from it; nothing while they are new.
-  old: Option<Keyspace>,
-  /// What the boxes' links carry.
+  /// Number of linearizable list reads.
+  pub linearizable_reads: usize,
+  /// The earlier state of the store that stale reads get; `None` while they get the current state.
+  stale_store: Option<Keyspace>,
+  /// The rates of the boxes' links.
   pub lines: Lines,
-  /// The other end of each link: the box, and its name there.
+  /// The other end of each link: the box and the link's id there.
   links: BTreeMap<(BoxId, LinkId), (BoxId, LinkId)>,
-  /// What the boxes logged.
+  /// The boxes' log lines.
   pub logged: Vec<String>,
   pub now: u64,
-  /// Objects that updates on links carried.
+  /// Number of objects in patches on links.
   pub pushed_objects: usize,
-  /// Configurations that boxes refused, with the reason.
+  /// Refused configurations: the box and the reason.
   pub refused: Vec<(BoxId, String)>,
-  /// How boxes that start read what the operators write.
+  /// The source with which boxes that start parse the operators' entries.
   pub source: Arc<dyn Source>,
-  /// Calls to the store that were carried out or refused, in tenths: a renewal and a stale read count
-  /// one tenth.
+  /// Calls that reached the store, in tenths: a lease renewal or a stale read counts as one tenth
+  /// of a call.
   pub store_tenths: u64,
-  /// Entries that boxes could not read.
+  /// Entries that boxes could not parse.
   pub unreadable: Vec<(BoxId, UnreadableEntry)>,
-  /// Which versions get which requests, as each box's proxies know it.
+  /// Each box's routing of traffic to software versions.
   pub traffic: BTreeMap<BoxId, TrafficTable>,
-  /// How often each box's proxies were told news about boxes.
-  pub times_told: BTreeMap<BoxId, usize>,
-  /// The last update that was unpacked to count its objects.
+  /// How often each box's proxies received changed endpoints.
+  pub endpoint_notifications: BTreeMap<BoxId, usize>,
+  /// The last unpacked update with its number of objects.
   unpacked: Option<(PackedUpdate, usize)>,
-  /// Ends of links from which nothing arrives any more, though both stay open.
+  /// Ends of open links whose messages are lost.
   silent_ends: BTreeSet<(BoxId, LinkId)>,
-  /// Watches that the store takes for answered, or never heard of. Their calls end without an answer.
+  /// Watches that the store never answers. Their calls time out.
   silent_watches: BTreeSet<(BoxId, u64)>,
-  /// Boxes that the store does not serve.
-  pub unserved: BTreeSet<BoxId>,
-  /// Whole configurations that watches brought.
+  /// Boxes that the store rejects.
+  pub rejected_boxes: BTreeSet<BoxId>,
+  /// Number of whole configurations received by watches.
   pub watched_configurations: usize,
-  /// Watches that reached the store.
+  /// Number of watches that reached the store.
   pub watches_begun: usize,
   watches: Vec<(BoxId, u64, StoreRequest, u64)>,
-  /// Most changes that the answer to a watch may hold.
+  /// Largest number of changes in the answer to a watch.
   pub watch_events_max: usize,
 }
 
@@ -123,17 +123,17 @@
     Self {
       behind: Vec::new(),
       boxes: BTreeMap::new(),
-      coming: BTreeMap::new(),
-      copy: Keyspace::default(),
+      scheduled: BTreeMap::new(),
+      backup: Keyspace::default(),
       era: Era(0),
       evacuated: BTreeMap::new(),
-      frozen: BTreeSet::new(),
+      paused: BTreeSet::new(),
       keyspace: Keyspace::default(),
       last: 0,
       link_mbps: 10,
       news_messages: 0,
-      newest_reads: 0,
-      old: None,
+      linearizable_reads: 0,
+      stale_store: None,
       lines: Lines::default(),
       links: BTreeMap::new(),
       logged: Vec::new(),
@@ -146,9 +146,9 @@
       store_tenths: 0,
       unreadable: Vec::new(),
       traffic: BTreeMap::new(),
-      times_told: BTreeMap::new(),
+      endpoint_notifications: BTreeMap::new(),
       unpacked: None,
-      unserved: BTreeSet::new(),
+      rejected_boxes: BTreeSet::new(),
       watched_configurations: 0,
       watches_begun: 0,
       watches: Vec::new(),
@@ -156,19 +156,19 @@
     }
   }
 
-  /// A fleet that has found itself and holds version 1.
+  /// An idle fleet in which every box holds version 1.
   pub fn at_rest(boxes: usize) -> Self {
     let mut fleet = Self::new();
     fleet.write_version(1);
     (0..boxes).for_each(|index| fleet.start(index, 1_000));
     fleet.run(8_000);
-    assert!(fleet.late(boxes, 1).is_empty(), "{:#?}", fleet.logged);
+    assert!(fleet.boxes_without_version(boxes, 1).is_empty(), "{:#?}", fleet.logged);
     fleet
   }
 
-  /// Boxes that run, by index, and do not hold a version.
-  pub fn late(&self, boxes: usize, version: u64) -> Vec<usize> {
-    self.lacking(boxes, |fleet, index| fleet.version(index) == Some(version))
+  /// Indexes of the running boxes that do not hold `version`.
+  pub fn boxes_without_version(&self, boxes: usize, version: u64) -> Vec<usize> {
+    self.boxes_failing(boxes, |fleet, index| fleet.version(index) == Some(version))
   }
 
   pub fn box_id(index: usize) -> BoxId {
@@ -179,13 +179,13 @@
     Moment { time: Time(self.now), unix_ms: self.now }
   }
 
-  /// Starts a box, or starts it anew with nothing in memory. `clock_ms` is what its clock shows.
+  /// Starts or restarts a box without any state. `clock_ms` is the time of its clock.
   pub fn start(&mut self, index: usize, clock_ms: u64) {
-    self.start_beside(index, clock_ms, EndpointState::Live);
+    self.start_with_state(index, clock_ms, EndpointState::Live);
   }
 
-  /// Starts a box whose backend server is in a state.
-  pub fn start_beside(&mut self, index: usize, clock_ms: u64, state: EndpointState) {
+  /// Starts or restarts a box whose backend server is in the given state.
+  pub fn start_with_state(&mut self, index: usize, clock_ms: u64, state: EndpointState) {
     let box_id = Self::box_id(index);
     self.stop(index);
     let address = format!("127.0.0.1:{}", 1_000 + index).parse().expect("an address");
@@ -223,7 +223,7 @@
     self.handle(&box_id, Event::EndpointState(state));
   }
 
-  /// Ends a box without a word. What has not left its link is lost.
+  /// Crashes a box. Messages that have not left its link are lost.
   pub fn stop(&mut self, index: usize) {
     let box_id = Self::box_id(index);
     self.boxes.remove(&box_id);
@@ -232,8 +232,8 @@
     self.lines.clear(&box_id);
     self.watches.retain(|(owner, ..)| *owner != box_id);
     let now_us = self.now * 1_000;
-    self.coming.retain(|_, (owner, coming)| match coming {
-      Coming::Parcel { left_at_us, sender: Some(sender), .. } if *sender == box_id => {
+    self.scheduled.retain(|_, (owner, scheduled)| match scheduled {
+      Scheduled::Transmission { left_at_us, sender: Some(sender), .. } if *sender == box_id => {
         *left_at_us <= now_us && *owner != box_id
       }
       _ => *owner != box_id,
@@ -245,66 +245,67 @@
     }
   }
 
-  /// Closes a link from one end; nobody is the sender where the box there ended.
+  /// Closes a link from one end. `sender` is `None` if the box at that end has crashed.
   fn close(&mut self, end: &(BoxId, LinkId), sender: Option<&BoxId>) {
     if let Some((peer, link)) = self.links.remove(end) {
       if self.silent_ends.remove(end) {
         return;
       }
       self.links.remove(&(peer.clone(), link));
-      self.convey(sender, &peer, 0, Coming::Event(Box::new(Event::LinkClosed { link })));
+      self.transmit(sender, &peer, 0, Scheduled::Event(Box::new(Event::LinkClosed { link })));
     }
   }
 
-  /// Brings something to a box over its own link, and that of the sender where it is a box.
-  fn convey(&mut self, sender: Option<&BoxId>, to: &BoxId, bytes: usize, coming: Coming) {
+  /// Sends an event to a box over the sender's link, if the sender is a box, and the box's own
+  /// link.
+  fn transmit(&mut self, sender: Option<&BoxId>, to: &BoxId, bytes: usize, scheduled: Scheduled) {
     let now_us = self.now * 1_000;
     let left_at_us =
       sender.map_or(now_us, |sender| self.lines.carry(sender, Direction::Outward, now_us, bytes));
-    let (coming, sender) = (Box::new(coming), sender.cloned());
-    let parcel = Coming::Parcel { bytes, coming, left_at_us, sender };
+    let (scheduled, sender) = (Box::new(scheduled), sender.cloned());
+    let parcel = Scheduled::Transmission { bytes, scheduled, left_at_us, sender };
     self.at(left_at_us + DELAY_MS * 1_000, to, parcel);
   }
 
-  fn at(&mut self, at_us: u64, box_id: &BoxId, coming: Coming) {
+  fn at(&mut self, at_us: u64, box_id: &BoxId, scheduled: Scheduled) {
     self.last += 1;
-    self.coming.insert((at_us, self.last), (box_id.clone(), coming));
+    self.scheduled.insert((at_us, self.last), (box_id.clone(), scheduled));
   }
 
-  /// The operators write a version.
+  /// Writes a configuration as the operators.
   pub fn write_version(&mut self, version: u64) {
     self.write_services(version, 0);
   }
 
-  /// The operators write a version with so many services.
+  /// Writes a configuration with `count` services as the operators.
   pub fn write_services(&mut self, version: u64, count: usize) {
     self.write_text(plain_source::written(version, count));
   }
 
-  /// The operators write some text where the configuration belongs.
+  /// Writes text under the key of the configuration as the operators.
   pub fn write_text(&mut self, value: String) {
     let request = StoreRequest::Put { key: Key::of(&["op", "config"]), lease: None, value };
     self.keyspace.call(Time(self.now), &request).expect("written");
   }
 
-  /// Another writer puts an item in that may be no text.
+  /// Writes an entry, which need not be text, as a foreign writer.
   pub fn write_foreign(&mut self, key: &str, value: Value) {
     self.keyspace.write_foreign(&Key::of(&[key]), value);
   }
 
-  /// Writes an item of the operators, or of the fleet.
+  /// Writes an entry of the operators or of the fleet.
   pub fn write_item(&mut self, key: &[&str], value: String) {
     let request = StoreRequest::Put { key: Key::of(key), lease: None, value };
     self.keyspace.call(Time(self.now), &request).expect("written");
   }
 
-  /// Takes an item out of the store.
+  /// Deletes an entry from the store.
   pub fn remove_item(&mut self, key: &[&str]) {
     let request = StoreRequest::Delete { key: Key::of(key) };
     self.keyspace.call(Time(self.now), &request).expect("removed");
   }
 
-  /// The text of an item in the store.
+  /// The text of an entry in the store.
   pub fn item(&mut self, key: &[&str]) -> Option<String> {
     match self.keyspace.call(Time(self.now), &StoreRequest::Read { key: Key::of(key) }) {
       Ok(Reply::Entry { entry, .. }) => {
@@ -319,18 +320,18 @@
     self.boxes.contains_key(&Self::box_id(index))
   }
 
-  /// What a box knows of the fleet.
+  /// The endpoints that a box knows.
   pub fn endpoints(&self, index: usize) -> &EndpointTable {
     self.boxes[&Self::box_id(index)].endpoints()
   }
 
-  /// Something happens to a box.
+  /// Delivers an event to a box.
   pub fn tell(&mut self, index: usize, event: Event) {
     self.handle(&Self::box_id(index), event);
   }
 
-  /// What the store holds for a box.
-  pub fn entry_of(&mut self, index: usize) -> Option<Value> {
+  /// The value of a box's entry in the store.
+  pub fn box_entry(&mut self, index: usize) -> Option<Value> {
     let key = Key::of(&["mesh", "boxes", Self::box_id(index).as_str()]);
     match self.keyspace.call(Time(self.now), &StoreRequest::Read { key }) {
       Ok(Reply::Entry { entry, .. }) => entry.map(|entry| entry.value),
@@ -338,37 +339,37 @@
     }
   }
 
-  /// The store keeps a copy of all that it holds.
-  pub fn keep_copy(&mut self) {
-    self.copy = self.keyspace.clone();
+  /// Makes a backup of the store.
+  pub fn back_up(&mut self) {
+    self.backup = self.keyspace.clone();
   }
 
-  /// The store comes back from the copy: what it acknowledged since is gone, and revisions and numbers of leases are
-  /// given out again. Watches that wait are cut.
-  pub fn go_back(&mut self) {
-    self.keyspace = self.copy.clone();
+  /// Restores the store from the backup: later writes are lost, and their revisions and lease ids
+  /// are reused. Pending watches fail.
+  pub fn restore_backup(&mut self) {
+    self.keyspace = self.backup.clone();
     self.era = self.era.next();
     for (box_id, call, ..) in std::mem::take(&mut self.watches) {
       self.answer(&box_id, call, Err(store::Error::Unknown { reason: "cut".into() }));
     }
   }
 
-  /// All leases end at once.
+  /// Expires all leases at once.
   pub fn lapse_leases(&mut self) {
     self.keyspace.lapse_leases();
   }
 
-  /// Lets time pass.
+  /// Runs the simulation for some time.
   pub fn run(&mut self, duration_ms: u64) {
     let until = self.now + duration_ms;
     while self.now < until {
       self.now += STEP_MS;
       self.keyspace.expire(Time(self.now));
       self.answer_watches();
-      self.let_come();
+      self.deliver_due();
       if self.now.is_multiple_of(50) {
         let ticking: Vec<BoxId> =
-          self.boxes.keys().filter(|one| !self.frozen.contains(*one)).cloned().collect();
+          self.boxes.keys().filter(|one| !self.paused.contains(*one)).cloned().collect();
         for box_id in ticking {
           self.handle(&box_id, Event::Tick);
         }
@@ -376,31 +377,32 @@
     }
   }
 
-  /// Lets all happen that is due. What comes to a box that stands still waits in its order.
-  fn let_come(&mut self) {
+  /// Handles all due events. Events of a paused process stay queued in order.
+  fn deliver_due(&mut self) {
     let mut waiting = Vec::new();
-    while let Some(first) = self.coming.first_entry().filter(|one| one.key().0 <= self.now * 1_000)
+    while let Some(first) =
+      self.scheduled.first_entry().filter(|one| one.key().0 <= self.now * 1_000)
     {
-      let (key, (box_id, coming)) = first.remove_entry();
-      let is_for_process = matches!(coming, Coming::Event(_) | Coming::Opened { .. });
-      if is_for_process && self.frozen.contains(&box_id) {
-        waiting.push((key, (box_id, coming)));
+      let (key, (box_id, scheduled)) = first.remove_entry();
+      let is_for_process = matches!(scheduled, Scheduled::Event(_) | Scheduled::Opened { .. });
+      if is_for_process && self.paused.contains(&box_id) {
+        waiting.push((key, (box_id, scheduled)));
       } else {
-        self.arrive(key.0, &box_id, coming);
+        self.arrive(key.0, &box_id, scheduled);
       }
     }
-    self.coming.extend(waiting);
+    self.scheduled.extend(waiting);
   }
 
-  fn arrive(&mut self, at_us: u64, box_id: &BoxId, coming: Coming) {
-    match coming {
-      Coming::Call { call, request } => self.call_arrives(box_id, call, request),
-      Coming::Parcel { bytes, coming, .. } => {
+  fn arrive(&mut self, at_us: u64, box_id: &BoxId, scheduled: Scheduled) {
+    match scheduled {
+      Scheduled::Call { call, request } => self.call_arrives(box_id, call, request),
+      Scheduled::Transmission { bytes, scheduled, .. } => {
         let through_us = self.lines.carry(box_id, Direction::Inward, at_us, bytes);
-        self.at(through_us, box_id, *coming);
+        self.at(through_us, box_id, *scheduled);
       }
-      Coming::Event(event) => self.handle(box_id, *event),
-      Coming::Opened { link, outbound, peer } => {
+      Scheduled::Event(event) => self.handle(box_id, *event),
+      Scheduled::Opened { link, outbound, peer } => {
         self.handle(box_id, Event::LinkOpened { link, outbound, peer });
       }
     }
@@ -422,7 +424,7 @@
       Action::CallStore { call, request } => self.call_store(box_id, call, request),
       Action::CloseLink { link } => self.close(&(box_id.clone(), link), Some(box_id)),
       Action::EndpointsUpdated(_) => {
-        *self.times_told.entry(box_id.clone()).or_default() += 1;
+        *self.endpoint_notifications.entry(box_id.clone()).or_default() += 1;
       }
       Action::EvacuationsChanged(halls) => {
         self.evacuated.insert(box_id.clone(), halls);
@@ -440,9 +442,9 @@
   }
 
   fn open(&mut self, from: &BoxId, to: &BoxId) {
-    if !self.boxes.contains_key(to) || self.frozen.contains(to) {
+    if !self.boxes.contains_key(to) || self.paused.contains(to) {
       let failed = Event::LinkFailed { box_id: to.clone() };
-      self.convey(None, from, 0, Coming::Event(Box::new(failed)));
+      self.transmit(None, from, 0, Scheduled::Event(Box::new(failed)));
       return;
     }
     self.logged.push(format!("{} {from} links to {to}", self.now));
@@ -451,9 +453,9 @@
     self.links.insert((from.clone(), near), (to.clone(), far));
     self.links.insert((to.clone(), far), (from.clone(), near));
     let (opened, peer) =
-      (|link, outbound, peer| Coming::Opened { link, outbound, peer }, from.clone());
-    self.convey(Some(from), to, 0, opened(far, false, peer));
-    self.convey(Some(to), from, 0, opened(near, true, to.clone()));
+      (|link, outbound, peer| Scheduled::Opened { link, outbound, peer }, from.clone());
+    self.transmit(Some(from), to, 0, opened(far, false, peer));
+    self.transmit(Some(to), from, 0, opened(near, true, to.clone()));
   }
 
   fn send(&mut self, from: &BoxId, link: LinkId, message: Message) {
@@ -473,11 +475,12 @@
         0
       };
       let received = Event::Received { link, message };
-      self.convey(Some(from), &to, bytes, Coming::Event(Box::new(received)));
+      self.transmit(Some(from), &to, bytes, Scheduled::Event(Box::new(received)));
     }
   }
 
-  /// Objects that an update changes. Most are sent to many boxes in a row, and unpacking takes long.
+  /// Number of objects that an update changes. The last one is cached: unpacking is slow, and most
+  /// updates are sent to many boxes in a row.
   fn objects_of(&mut self, packed: &PackedUpdate) -> usize {
     if let Some((_, objects)) = self.unpacked.as_ref().filter(|(known, _)| known == packed) {
       return *objects;
@@ -496,7 +499,7 @@
     if left_at_us <= now_us {
       self.call_arrives(box_id, call, request);
     } else {
-      self.at(left_at_us, box_id, Coming::Call { call, request });
+      self.at(left_at_us, box_id, Scheduled::Call { call, request });
     }
   }
 
@@ -504,9 +507,9 @@
     let is_cheap =
       matches!(request, StoreRequest::ListStale { .. } | StoreRequest::RenewLease { .. });
     self.store_tenths += if is_cheap { 1 } else { 10 };
-    self.newest_reads += usize::from(matches!(request, StoreRequest::List { .. }));
-    if self.unserved.contains(box_id) {
-      // A watch is cut, whether it was under way or begins, so that tests can tell it from other calls.
+    self.linearizable_reads += usize::from(matches!(request, StoreRequest::List { .. }));
+    if self.rejected_boxes.contains(box_id) {
+      // Both pending and new watches are cut, so that tests can tell them from other calls.
       let turned_away = match &request {
         StoreRequest::Watch { .. } => store::Error::Unknown { reason: "cut".into() },
         _ => Refusal::TooMany { retry_after_ms: 100 }.into(),
@@ -523,12 +526,13 @@
       self.watches.push((box_id.clone(), call, request, until));
       return;
     }
-    let result = self.read_old(&request);
+    let result = self.read_stale(&request);
     let result = result.unwrap_or_else(|| self.keyspace.call(Time(self.now), &request));
     self.answer(box_id, call, result.map_err(store::Error::from));
   }
 
-  /// A call by the store's own counts; nothing for a watch from an earlier era, which clients do not send.
+  /// Translates a call to the store's own revisions; `None` for a watch from an earlier era, which
+  /// clients do not send and the store refuses as compacted.
   fn in_this_era(&self, mut request: StoreRequest) -> Option<StoreRequest> {
     if let StoreRequest::Watch { after, .. } = &mut request {
       if after.era < self.era {
@@ -539,9 +543,10 @@
     Some(request)
   }
 
-  /// Answers a read that may be old as the store was, with the revision at which it is now.
-  fn read_old(&mut self, request: &StoreRequest) -> Option<Result<Reply, Refusal>> {
-    let old = self.old.as_mut().filter(|_| matches!(request, StoreRequest::ListStale { .. }))?;
+  /// Answers a stale read with the earlier state of the store, but with its current revision.
+  fn read_stale(&mut self, request: &StoreRequest) -> Option<Result<Reply, Refusal>> {
+    let old =
+      self.stale_store.as_mut().filter(|_| matches!(request, StoreRequest::ListStale { .. }))?;
     let (result, revision) = (old.call(Time(self.now), request), self.keyspace.revision());
     Some(result.map(|reply| match reply {
       Reply::Entries { entries, .. } => Reply::Entries { entries, revision },
@@ -549,17 +554,17 @@
     }))
   }
 
-  /// From now on, reads that may be old show the store as it is at present.
-  pub fn begin_old_reads(&mut self) {
-    self.old = Some(self.keyspace.clone());
+  /// From now on, stale reads get the present state of the store.
+  pub fn begin_stale_reads(&mut self) {
+    self.stale_store = Some(self.keyspace.clone());
   }
 
-  /// Reads that may be old show the store as it is again.
-  pub fn end_old_reads(&mut self) {
-    self.old = None;
+  /// From now on, stale reads get the current state of the store again.
+  pub fn end_stale_reads(&mut self) {
+    self.stale_store = None;
   }
 
-  /// The store forgets all changes up to now.
+  /// Compacts the store's history up to now.
   pub fn forget_history(&mut self) {
     self.keyspace.forget_history();
   }
@@ -568,17 +573,17 @@
     let bytes = lines::answer_bytes(&result);
     let result = result.map(|reply| reply.of_era(self.era));
     let answered = Event::StoreAnswered { call, era: self.era, result };
-    self.convey(None, box_id, bytes, Coming::Event(Box::new(answered)));
+    self.transmit(None, box_id, bytes, Scheduled::Event(Box::new(answered)));
   }
 
-  /// Lets the connections of all watches that wait go silent; new ones are well.
+  /// Silences the connections of the boxes' pending watches. New watches work.
   pub fn silence_watches(&mut self, boxes: impl Iterator<Item = usize>) {
     let boxes: BTreeSet<BoxId> = boxes.map(Self::box_id).collect();
     let of_these = self.watches.iter().filter(|(box_id, ..)| boxes.contains(box_id));
     self.silent_watches.extend(of_these.map(|(box_id, call, ..)| (box_id.clone(), *call)));
   }
 
-  /// Lets all open links go silent from one box to the other; new ones are well.
+  /// Silences all open links in the direction from one box to the other. New links work.
   pub fn silence_links(&mut self, from: usize, to: usize) {
     let (from, to) = (Self::box_id(from), Self::box_id(to));
     let ends = self.links.iter().filter(|((near, _), (far, _))| *near == from && *far == to);
@@ -589,7 +594,7 @@
     let waiting = std::mem::take(&mut self.watches);
     for (box_id, call, request, until) in waiting {
       if self.silent_watches.contains(&(box_id.clone(), call)) {
-        if self.now < until + PATIENCE_MS {
+        if self.now < until + WATCH_GRACE_MS {
           self.watches.push((box_id, call, request, until));
         } else {
           let reason = "no answer began".into();
@@ -597,13 +602,14 @@
         }
         continue;
       }
-      if self.unserved.contains(&box_id) {
+      if self.rejected_boxes.contains(&box_id) {
         self.answer(&box_id, call, Err(store::Error::Unknown { reason: "cut".into() }));
         continue;
       }
       let result = self.keyspace.call(Time(self.now), &request);
       let is_idle = matches!(&result, Ok(Reply::Changes { events, .. }) if events.is_empty());
-      let is_over = matches!(&result, Ok(Reply::Changes { events, .. }) if events.len() > self.watch_events_max);
+      let is_over = matches!(&result, Ok(Reply::Changes { events, .. })
+        if events.len() > self.watch_events_max);
       if is_idle && self.now < until {
         self.watches.push((box_id, call, request, until));
       } else if is_over {
@@ -618,29 +624,29 @@
     }
   }
 
-  /// The version that a box holds.
+  /// The version that the box holds.
   pub fn version(&self, index: usize) -> Option<u64> {
     self.boxes[&Self::box_id(index)].catalog().version().map(|version| version.0)
   }
 
-  /// Whether `from` holds `to` for a box that takes work.
+  /// Whether `from` knows `to` as a live endpoint.
   pub fn sees_live(&self, from: usize, to: usize) -> bool {
     let endpoints = self.boxes[&Self::box_id(from)].endpoints();
     endpoints.get(&Self::box_id(to)).is_some_and(|one| one.state == EndpointState::Live)
   }
 
-  /// The data halls that a box holds for evacuated.
+  /// The data halls that the box knows to be evacuated.
   pub fn evacuated(&self, index: usize) -> BTreeSet<DataHall> {
     self.evacuated.get(&Self::box_id(index)).cloned().unwrap_or_default()
   }
 
-  /// Boxes that run, by index, for which `holds` does not.
-  pub fn lacking(&self, count: usize, holds: impl Fn(&Self, usize) -> bool) -> Vec<usize> {
+  /// Indexes of the running boxes for which `holds` is false.
+  pub fn boxes_failing(&self, count: usize, holds: impl Fn(&Self, usize) -> bool) -> Vec<usize> {
     let runs = |index: &usize| self.boxes.contains_key(&Self::box_id(*index));
     (0..count).filter(runs).filter(|index| !holds(self, *index)).collect()
   }
 
-  /// Changes what a box says of its backend server.
+  /// Changes the reported state of a box's backend server.
   pub fn change_state(&mut self, index: usize, state: EndpointState) {
     self.handle(&Self::box_id(index), Event::EndpointState(state));
   }
