--- a/src/dev/mesh.rs
+++ b/src/dev/mesh.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// The deployment.
+/// A development deployment that runs in this process.
 pub struct Mesh {
   /// The boxes.
   pub boxes: Vec<DevBox>,
@@ -8,10 +8,10 @@
   pub store: StoreServer,
 }
 
-/// The fleet's secret. It never leaves this process, and loopback is all that it guards.
+/// The secret of the fleet key. It never leaves this process, and protects loopback links only.
 const FLEET_KEY: &str = "the key of a deployment on loopback";
 
-/// What a box of the deployment is to be.
+/// The plan of a box that is to be started.
 pub struct BoxPlan {
   box_id: String,
   data_hall: &'static str,
@@ -20,8 +20,8 @@
 }
 
 impl Mesh {
-  /// Seconds within which the deployment comes up.
-  const SETTLE_SECONDS: u64 = 30;
+  /// Longest wait in seconds for the deployment to reach a state.
+  const WAIT_SECONDS_MAX: u64 = 30;
 
   /// The first configuration of the deployment.
   const CONFIGURATION: &'static str = "
@@ -36,8 +36,8 @@
     create route certify path /certify service certification repeatable no;
     create route recordings path /recordings service recording-intake";
 
-  /// The deployment of Inyandiko in Kigali.
-  pub fn inyandiko() -> Vec<BoxPlan> {
+  /// Plans the boxes of the example deployment: three services in three data halls.
+  pub fn example_plans() -> Vec<BoxPlan> {
     const DATA_HALLS: [&str; 3] = ["nyarugenge", "kacyiru", "remera"];
     let services = [("minutes-archive", 6), ("certification", 4), ("recording-intake", 3)];
     let plans = services.into_iter().flat_map(|(service, count)| {
@@ -51,7 +51,7 @@
     plans.collect()
   }
 
-  /// Starts a deployment on loopback, at ports that the kernel chooses.
+  /// Starts a deployment on loopback ports that the kernel selects.
   pub fn start(plans: Vec<BoxPlan>) -> Result<Self> {
     let store = StoreServer::start(loopback()?)?;
     let mut bound = Vec::new();
@@ -74,15 +74,16 @@
     Ok(Self { boxes, store })
   }
 
-  /// Waits until every box is ready, and gives the deployment its first configuration.
-  pub async fn settle(&self) -> Result {
+  /// Applies the first configuration, and waits until every box has it and knows all backend
+  /// servers.
+  pub async fn wait_until_ready(&self) -> Result {
     self
       .wait_for("every box to hold a configuration", || {
         self.boxes.iter().all(|one| one.daemon.node.shared.configuration().is_some())
       })
       .await?;
-    let answer = self.boxes[0].state(Self::CONFIGURATION).await?;
-    let version = accepted(&answer)?;
+    let answer = self.boxes[0].execute(Self::CONFIGURATION).await?;
+    let version = accepted_version(&answer)?;
     self.wait_for_version(version).await?;
     self.wait_for("every box to know every backend server", || self.all_are_live()).await
   }
@@ -110,12 +111,12 @@
       .await
   }
 
-  /// Waits for a condition.
+  /// Waits for `condition`. `what` describes it in the error after a timeout.
   pub async fn wait_for(&self, what: &str, condition: impl Fn() -> bool) -> Result {
     let started = Instant::now();
     while !condition() {
-      if started.elapsed().as_secs() >= Self::SETTLE_SECONDS {
-        return Err(Error::Step(format!("waited {} s for {what}", Self::SETTLE_SECONDS)));
+      if started.elapsed().as_secs() >= Self::WAIT_SECONDS_MAX {
+        return Err(Error::Step(format!("waited {} s for {what}", Self::WAIT_SECONDS_MAX)));
       }
       monoio::time::sleep(Duration::from_millis(10)).await;
     }
@@ -132,8 +133,8 @@
   fn peer(&self, listeners: &Listeners) -> Result<Peer> {
     Ok(Peer {
       address: listeners.links.address()?,
-      box_id: self.box_id.parse().expect("a name"),
-      data_hall: self.data_hall.parse().expect("a name"),
+      box_id: self.box_id.parse().expect("a valid name"),
+      data_hall: self.data_hall.parse().expect("a valid name"),
     })
   }
 
@@ -170,8 +171,8 @@
   Listener::bind(SocketAddr::from(([127, 0, 0, 1], 0)))
 }
 
-/// The version that a change made.
-pub fn accepted(answer: &Answer) -> Result<Version> {
+/// The version that an accepted change created.
+pub fn accepted_version(answer: &Answer) -> Result<Version> {
   let version = answer.version.filter(|_| answer.outcome == AnswerOutcome::Done);
   version.ok_or_else(|| Error::Step(format!("a change was not accepted: {}", answer.message)))
 }
--- a/src/links/credentials.rs
+++ b/src/links/credentials.rs
@@ -1,22 +1,22 @@
 use super::*;
 
-use self::{handshake::Agreement, incoming::next_frame};
+use self::{handshake::HandshakeContext, incoming::next_frame};
 
-/// What a daemon opens and takes links with.
+/// What a daemon authenticates itself with on links.
 #[derive(Clone, Debug)]
 pub struct Credentials {
-  /// The daemon's box.
+  /// The box of the daemon.
   pub box_id: BoxId,
   /// The fleet's secret.
   pub key: FleetKey,
 }
 
-/// An open link: the box at the other end and both directions.
-type Opened = (BoxId, Outgoing, IncomingFrames);
+/// An open link: the box of the peer, and both directions.
+type OpenLink = (BoxId, Outgoing, IncomingFrames);
 
 impl Credentials {
   /// Opens a link to the daemon at `address`. `nonce` must be random.
-  pub async fn dial(&self, address: SocketAddr, nonce: u128) -> Result<Opened> {
+  pub async fn dial(&self, address: SocketAddr, nonce: u128) -> Result<OpenLink> {
     let stream = TcpStream::connect_addr(address).await?;
     stream.set_nodelay(true)?;
     let stream = stream.try_into_poll_io().map_err(|(err, _)| err)?;
@@ -25,26 +25,26 @@
     let (mut socket, _) = tokio_tungstenite::client_async_with_config(url, stream, config).await?;
     let challenge: Challenge = decode(&next_frame(&mut socket).await?)?;
     check_protocol(challenge.protocol)?;
-    let agreement = Agreement {
-      called_nonce: challenge.nonce,
-      caller: &self.box_id,
-      caller_nonce: nonce,
+    let context = HandshakeContext {
+      acceptor_nonce: challenge.nonce,
+      dialer: &self.box_id,
+      dialer_nonce: nonce,
       key: &self.key,
     };
     let hello = Hello {
       box_id: self.box_id.clone(),
       nonce,
-      proof: agreement.proof("caller", &self.box_id),
+      proof: context.proof("caller", &self.box_id),
       protocol: PROTOCOL,
     };
     socket.send(Frame::binary(encode(&hello))).await?;
     let confirmation: Confirmation = decode(&next_frame(&mut socket).await?)?;
-    agreement.check("called", &confirmation.box_id, &confirmation.proof)?;
-    Ok(split(confirmation.box_id, socket, &agreement, ["to called", "to caller"]))
+    context.check("called", &confirmation.box_id, &confirmation.proof)?;
+    Ok(split(confirmation.box_id, socket, &context, ["to called", "to caller"]))
   }
 
-  /// Takes a link that another daemon opens. `nonce` must be random.
-  pub async fn accept(&self, stream: TcpStream, nonce: u128) -> Result<Opened> {
+  /// Accepts a link from another daemon. `nonce` must be random.
+  pub async fn accept(&self, stream: TcpStream, nonce: u128) -> Result<OpenLink> {
     let stream = stream.try_into_poll_io().map_err(|(err, _)| err)?;
     let config = Some(socket_config());
     let mut socket = tokio_tungstenite::accept_async_with_config(stream, config).await?;
@@ -52,17 +52,17 @@
     socket.send(Frame::binary(encode(&challenge))).await?;
     let hello: Hello = decode(&next_frame(&mut socket).await?)?;
     check_protocol(hello.protocol)?;
-    let agreement = Agreement {
-      called_nonce: nonce,
-      caller: &hello.box_id,
-      caller_nonce: hello.nonce,
+    let context = HandshakeContext {
+      acceptor_nonce: nonce,
+      dialer: &hello.box_id,
+      dialer_nonce: hello.nonce,
       key: &self.key,
     };
-    agreement.check("caller", &hello.box_id, &hello.proof)?;
+    context.check("caller", &hello.box_id, &hello.proof)?;
     let confirmation =
-      Confirmation { box_id: self.box_id.clone(), proof: agreement.proof("called", &self.box_id) };
+      Confirmation { box_id: self.box_id.clone(), proof: context.proof("called", &self.box_id) };
     socket.send(Frame::binary(encode(&confirmation))).await?;
-    Ok(split(hello.box_id.clone(), socket, &agreement, ["to caller", "to called"]))
+    Ok(split(hello.box_id.clone(), socket, &context, ["to caller", "to called"]))
   }
 }
 
@@ -73,11 +73,12 @@
 fn split(
   peer: BoxId,
   socket: Socket,
-  agreement: &Agreement,
+  context: &HandshakeContext,
   [outward, inward]: [&str; 2],
-) -> Opened {
+) -> OpenLink {
   let (sink, stream) = socket.split();
-  let outgoing = Outgoing { seal: Seal::new(agreement.derive(outward)), sink };
-  let incoming = IncomingFrames { seal: Seal::new(agreement.derive(inward)), stream };
+  let outgoing = Outgoing { authenticator: FrameAuthenticator::new(context.derive(outward)), sink };
+  let incoming =
+    IncomingFrames { authenticator: FrameAuthenticator::new(context.derive(inward)), stream };
   (peer, outgoing, incoming)
 }
--- a/src/proxy/arrivals.rs
+++ b/src/proxy/arrivals.rs
@@ -35,12 +35,12 @@
   ) -> Response<AnyBody> {
     let size = response.body().size_hint().exact();
     if forwarded.repeatable || size.is_none_or(|size| size > RETAINED_ANSWER_BYTES_MAX as u64) {
-      return response.map(|body| body.keeping(self));
+      return response.map(|body| body.with_guard(self));
     }
     let (head, body) = response.into_parts();
     match web::collect(body, RETAINED_ANSWER_BYTES_MAX).await {
       Ok(body) => {
-        self.end(Some(Rc::new(KeptAnswer::of(&head, &body))));
+        self.end(Some(Rc::new(StoredResponse::of(&head, &body))));
         Response::from_parts(head, web::full(body))
       }
       Err(err) => {
@@ -50,7 +50,7 @@
     }
   }
 
-  fn end(&mut self, answer: Option<Rc<KeptAnswer>>) {
+  fn end(&mut self, answer: Option<Rc<StoredResponse>>) {
     if let Some(key) = self.key.take() {
       self.shared.arrivals.borrow_mut().end(self.shared.now().time, key, answer);
     }
@@ -140,7 +140,7 @@
   match status.as_ref().and_then(|status| status.to_str().ok()) {
     Some(NEVER_ARRIVED) => {
       // Other idle connections may be dead too, and the next tries would be lost on them.
-      shared.peer_pool.forget_idle();
+      shared.peer_pool.close_idle();
       QueryResult::NeverArrived
     }
     Some(ANSWERED) => QueryResult::Answered(read_peer_answer(response, &mut None).await),
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -23,7 +23,9 @@
   store::Revision,
   telemetry::Log,
   timer::Stopwatch,
-  web::{AnyBody, Client, Incoming, KeptAnswer, Mark, Origin, ResponseBody},
+  web::{
+    AnyBody, Client, ClientLocation, CorrelationHeader, Incoming, ResponseBody, StoredResponse,
+  },
 };
 
 pub use self::{egress::serve_peer, ingress::serve_caller};
--- a/src/web/any_body.rs
+++ b/src/web/any_body.rs
@@ -1,26 +1,26 @@
 use super::*;
 
-/// The body of any message that the daemon sends. It stays on the daemon's one thread.
+/// A type-erased message body. Not `Send`: the daemon runs on a single thread.
 pub struct AnyBody {
   inner: Pin<Box<dyn Body<Data = Bytes, Error = BodyError>>>,
-  /// Dropped with the body.
-  kept: Vec<Box<dyn std::any::Any>>,
+  /// Values that live as long as the body.
+  guards: Vec<Box<dyn std::any::Any>>,
 }
 
 impl AnyBody {
-  /// A body that streams through.
+  /// Wraps a body without buffering it.
   pub fn streamed<B>(body: B) -> Self
   where
     B: Body<Data = Bytes> + 'static,
     B::Error: Into<BodyError>,
   {
-    Self { inner: Box::pin(body.map_err(Into::into)), kept: Vec::new() }
+    Self { inner: Box::pin(body.map_err(Into::into)), guards: Vec::new() }
   }
 
-  /// Keeps `guard` until the body is gone.
+  /// Ties `guard` to the body: it is dropped when the body is.
   #[must_use]
-  pub fn keeping(mut self, guard: impl std::any::Any) -> Self {
-    self.kept.push(Box::new(guard));
+  pub fn with_guard(mut self, guard: impl std::any::Any) -> Self {
+    self.guards.push(Box::new(guard));
     self
   }
 }
--- a/src/web/error.rs
+++ b/src/web/error.rs
@@ -8,13 +8,13 @@
     /// What went wrong.
     reason: String,
   },
-  /// The peer was silent for too long; it may have acted on the request.
-  Late {
-    /// What did not come, and for how long.
+  /// The peer's message violates HTTP.
+  Malformed(http1::Fault),
+  /// A timeout passed; the peer may have acted on the request.
+  TimedOut {
+    /// What was awaited, and for how long.
     reason: String,
   },
-  /// The peer's message is not as HTTP asks.
-  Malformed(http1::Fault),
   /// The body is larger than allowed.
   TooLarge {
     /// The limit in bytes.
@@ -26,10 +26,10 @@
     address: SocketAddr,
     /// What went wrong.
     reason: String,
-    /// Whether nobody listens there.
+    /// Whether the connection was refused, so that nothing listens at the address.
     refused: bool,
   },
-  /// The connection was over before a byte of the request was sent.
+  /// The connection closed before a byte of the request was sent.
   Unsent {
     /// What went wrong.
     reason: String,
@@ -47,8 +47,8 @@
   fn fmt(&self, f: &mut Formatter) -> fmt::Result {
     match self {
       Self::Broken { reason } => write!(f, "the connection broke: {reason}"),
-      Self::Late { reason } => f.write_str(reason),
       Self::Malformed(fault) => fault.fmt(f),
+      Self::TimedOut { reason } => f.write_str(reason),
       Self::TooLarge { bytes_max } => {
         write!(f, "the body is larger than {bytes_max} bytes: send less at once")
       }
--- a/src/web/http1/fault.rs
+++ b/src/web/http1/fault.rs
@@ -1,27 +1,27 @@
 use super::*;
 
-/// What is wrong with a message.
+/// Why a message is rejected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
   /// The body is larger than allowed.
   BodyTooLarge,
-  /// A chunk of the body is broken.
-  Chunk,
-  /// The head is not as RFC 9112 asks.
-  Head(&'static str),
   /// The head is larger than allowed.
   HeadTooLarge,
-  /// The coding of the body is not known.
+  /// A chunk of the body is malformed.
+  MalformedChunk,
+  /// The head violates RFC 9112.
+  MalformedHead(&'static str),
+  /// The transfer coding of the body is not supported.
   TransferCoding,
 }
 
 impl Fault {
-  /// The status that tells the sender.
+  /// The status of the response to such a request.
   pub fn status(self) -> StatusCode {
     match self {
       Self::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-      Self::Chunk | Self::Head(_) => StatusCode::BAD_REQUEST,
       Self::HeadTooLarge => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
+      Self::MalformedChunk | Self::MalformedHead(_) => StatusCode::BAD_REQUEST,
       Self::TransferCoding => StatusCode::NOT_IMPLEMENTED,
     }
   }
@@ -31,9 +31,9 @@
   fn fmt(&self, f: &mut Formatter) -> fmt::Result {
     f.write_str(match self {
       Self::BodyTooLarge => "the body is larger than allowed: send less at once",
-      Self::Chunk => "a chunk of the body is malformed",
-      Self::Head(reason) => reason,
       Self::HeadTooLarge => "the head is larger than allowed: send fewer or shorter header fields",
+      Self::MalformedChunk => "a chunk of the body is malformed",
+      Self::MalformedHead(reason) => reason,
       Self::TransferCoding => "the transfer coding is not known: send chunked, or a length",
     })
   }
--- a/src/web/http1/headers.rs
+++ b/src/web/http1/headers.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Takes over the fields that the parser found.
+/// Converts the header fields that the parser found.
 pub(super) fn take(fields: &[httparse::Header]) -> Result<HeaderMap> {
   let mut headers = HeaderMap::with_capacity(fields.len());
   for field in fields {
@@ -10,14 +10,14 @@
     let value = HeaderValue::from_bytes(field.value);
     match (name, value) {
       (Ok(name), Ok(value)) => headers.append(name, value),
-      _ => return Err(Fault::Head("a header field is malformed")),
+      _ => return Err(Fault::MalformedHead("a header field is malformed")),
     };
   }
   Ok(headers)
 }
 
-/// Writes all fields but those that tell the framing of the body, which the encoder writes. A length
-/// is kept where no body follows, for it tells of the body that a `GET` would bring.
+/// Writes all fields except those of the framing, which the encoder writes. Keeps `Content-Length`
+/// if no body follows, since it then gives the size that a `GET` would return.
 pub(super) fn put(headers: &HeaderMap, encoder: BodyEncoder, out: &mut BytesMut) {
   for (name, value) in headers {
     let is_length = *name == http::header::CONTENT_LENGTH && encoder != BodyEncoder::Empty;
@@ -36,14 +36,14 @@
   out.extend_from_slice(b"\r\n");
 }
 
-/// Whether a comma-separated field has `token`.
+/// Whether a comma-separated field contains `token`.
 pub(super) fn has_token(headers: &HeaderMap, name: HeaderName, token: &str) -> bool {
   let values = headers.get_all(name).into_iter().filter_map(|value| value.to_str().ok());
   values.flat_map(|value| value.split(',')).any(|found| found.trim().eq_ignore_ascii_case(token))
 }
 
-/// The length that the fields give; nothing where they give none.
-pub(super) fn length(headers: &HeaderMap) -> Result<Option<u64>> {
+/// The value of `Content-Length`, if present.
+pub(super) fn content_length(headers: &HeaderMap) -> Result<Option<u64>> {
   let mut found = None;
   for value in headers.get_all(http::header::CONTENT_LENGTH) {
     let text = value.to_str().unwrap_or_default();
@@ -51,16 +51,16 @@
     let length: u64 = is_number
       .then(|| text.parse().ok())
       .flatten()
-      .ok_or(Fault::Head("Content-Length is not a whole number"))?;
+      .ok_or(Fault::MalformedHead("Content-Length is not a whole number"))?;
     if found.is_some() {
-      return Err(Fault::Head("Content-Length stands twice"));
+      return Err(Fault::MalformedHead("Content-Length stands twice"));
     }
     found = Some(length);
   }
   Ok(found)
 }
 
-/// Whether the body comes in chunks. Any other coding is refused.
+/// Whether the body is chunked. Rejects all other transfer codings.
 pub(super) fn is_chunked(headers: &HeaderMap) -> Result<bool> {
   let mut codings = headers.get_all(http::header::TRANSFER_ENCODING).into_iter();
   let Some(coding) = codings.next() else {
@@ -76,11 +76,10 @@
   if ends_chunked {
     return Err(Fault::TransferCoding);
   }
-  Err(Fault::Head("chunked is not the last transfer coding, so the body has no end"))
+  Err(Fault::MalformedHead("chunked is not the last transfer coding, so the body has no end"))
 }
 
-/// The length of a whole head in `bytes`; nothing where its end is not there yet. Lines end with
-/// CR LF, and with nothing else.
+/// The length of the head in `bytes`, or `None` if it is incomplete. Lines must end with CR LF.
 pub(super) fn end_of_head(bytes: &[u8], bytes_max: usize) -> Result<Option<usize>> {
   let end = bytes.windows(4).position(|window| window == b"\r\n\r\n").map(|at| at + 4);
   if end.unwrap_or(bytes.len()) > bytes_max {
@@ -90,7 +89,7 @@
   let bare =
     head.iter().enumerate().any(|(at, byte)| *byte == b'\n' && (at == 0 || head[at - 1] != b'\r'));
   if bare {
-    return Err(Fault::Head("a line of the head ends with a bare line feed"));
+    return Err(Fault::MalformedHead("a line of the head ends with a bare line feed"));
   }
   Ok(end)
 }
--- a/src/web/mod.rs
+++ b/src/web/mod.rs
@@ -1,19 +1,19 @@
-//! HTTP plumbing on monoio: bodies, a pool of client connections, and a server loop.
+//! HTTP/1.1 client and server on monoio: bodies, a client connection pool, and a server loop.
 
 use super::*;
 
 pub use self::{
   any_body::AnyBody,
   body_limits::BodyLimits,
-  client::{Client, Mark, ResponseBody},
+  client::{Client, CorrelationHeader, ResponseBody},
+  client_location::ClientLocation,
   error::Error,
   incoming::Incoming,
-  kept_answer::KeptAnswer,
   listener::Listener,
-  origin::Origin,
   pool::Pool,
   server::Server,
   server_limits::ServerLimits,
+  stored_response::StoredResponse,
 };
 
 use self::{
@@ -24,35 +24,35 @@
 mod any_body;
 mod body_limits;
 mod client;
+mod client_location;
 mod error;
 pub mod http1;
 mod incoming;
-mod kept_answer;
 mod listener;
-mod origin;
 mod pool;
 mod server;
 mod server_connection;
 mod server_limits;
 mod socket;
+mod stored_response;
 
-/// Result of an exchange.
+/// Result of an HTTP exchange.
 pub type Result<T = (), E = Error> = std::result::Result<T, E>;
 
-/// What breaks a body.
+/// Error of a message body.
 pub type BodyError = Box<dyn StdError + Send + Sync>;
 
-/// A body without a byte.
+/// Returns an empty body.
 pub fn empty() -> AnyBody {
   full(Bytes::new())
 }
 
-/// A body that is held whole.
+/// Returns a body that consists of `bytes`.
 pub fn full(bytes: impl Into<Bytes>) -> AnyBody {
   AnyBody::streamed(Full::new(bytes.into()))
 }
 
-/// Reads a body of at most `bytes_max` bytes whole.
+/// Reads a complete body of at most `bytes_max` bytes.
 pub async fn collect<B>(body: B, bytes_max: usize) -> Result<Bytes>
 where
   B: Body<Data = Bytes>,
@@ -68,19 +68,19 @@
   }
 }
 
-/// Reads a body whole, however long it takes while bytes keep coming, within `limits`. `came` counts the
-/// bytes, also of a body that is given up. One that says beforehand that it is too large is not read: on a
-/// narrow link its bytes would hold up others.
-pub async fn collect_while_moving<B>(
+/// Reads a complete body within `limits`. Adds the bytes read to `bytes_read`, also if the body is
+/// given up. A body whose declared size is too large is not read at all, since its bytes would
+/// delay others on a narrow link.
+pub async fn collect_within_limits<B>(
   body: B,
   limits: BodyLimits,
-  came: &Cell<usize>,
+  bytes_read: &Cell<usize>,
 ) -> Result<Bytes>
 where
   B: Body<Data = Bytes>,
   B::Error: Into<Error>,
 {
-  let BodyLimits { bytes_max, silent_ms, whole_ms } = limits;
+  let BodyLimits { bytes_max, idle_timeout_ms, total_timeout_ms } = limits;
   let too_large = Error::TooLarge { bytes_max };
   if body.size_hint().lower() > bytes_max as u64 {
     return Err(too_large);
@@ -89,29 +89,29 @@
   let mut collected = BytesMut::new();
   let reading = async {
     loop {
-      let silence = Duration::from_millis(silent_ms);
-      let Ok(frame) = timer::timeout(silence, body.frame()).await else {
-        return Err(Error::Late { reason: format!("no byte came for {silent_ms} ms") });
+      let idle_timeout = Duration::from_millis(idle_timeout_ms);
+      let Ok(frame) = timer::timeout(idle_timeout, body.frame()).await else {
+        return Err(Error::TimedOut { reason: format!("no byte came for {idle_timeout_ms} ms") });
       };
       let Some(frame) = frame else {
         return Ok(());
       };
       let data = frame.map_err(Into::into)?.into_data().unwrap_or_default();
-      came.set(came.get() + data.len());
-      if came.get() > bytes_max {
+      bytes_read.set(bytes_read.get() + data.len());
+      if bytes_read.get() > bytes_max {
         return Err(too_large);
       }
       collected.extend_from_slice(&data);
     }
   };
-  let read = timer::timeout(Duration::from_millis(whole_ms), reading).await;
+  let read = timer::timeout(Duration::from_millis(total_timeout_ms), reading).await;
   read.unwrap_or_else(|_| {
-    Err(Error::Late { reason: format!("the body was not whole after {whole_ms} ms") })
+    Err(Error::TimedOut { reason: format!("the body was not whole after {total_timeout_ms} ms") })
   })?;
   Ok(collected.freeze())
 }
 
-/// A JSON response.
+/// Returns a JSON response.
 pub fn json(status: StatusCode, value: &impl Serialize) -> Response<AnyBody> {
   let text = to_json(value);
   let mut response = Response::new(full(text));
@@ -121,7 +121,7 @@
   response
 }
 
-/// A response of plain text.
+/// Returns a plain-text response.
 pub fn text(status: StatusCode, text: impl Into<String>) -> Response<AnyBody> {
   let mut response = Response::new(full(text.into()));
   *response.status_mut() = status;
