--- a/src/fleet/backend_record.rs
+++ b/src/fleet/backend_record.rs
@@ -69,7 +69,7 @@
   /// Handles a report.
   pub fn reported(&mut self, now: Time, report: &BackendReport) -> ReportOutcome {
     if report.process.started_at.is_none() && self.has_start_times {
-      return ReportOutcome::Rejected("the report lacks the start time of its process");
+      return ReportOutcome::Rejected("it does not say when its process started");
     }
     if self.has_left(&report.process) {
       return ReportOutcome::Stale;
@@ -83,7 +83,7 @@
 
   fn running_reported(&mut self, now: Time, report: &BackendReport) -> ReportOutcome {
     if self.service.as_ref().is_some_and(|service| *service != report.service) {
-      return ReportOutcome::Rejected("the process reported another service before");
+      return ReportOutcome::Rejected("the process serves another service");
     }
     if report.sequence <= self.sequence {
       return ReportOutcome::Stale;
