--- a/src/platform/control.rs
+++ b/src/platform/control.rs
@@ -1,10 +1,10 @@
-//! The calls that come to a daemon from the platform and from the backend server beside it.
+//! The HTTP endpoints for the platform's readiness check and the local backend server's reports.
 
 use super::*;
 
 use std::num::NonZeroU32;
 
-/// Largest report of a backend server in bytes, as the platform bounds it.
+/// The platform's maximum size of a backend server's report, in bytes.
 const REPORT_BYTES_MAX: usize = 4_096;
 
 #[derive(Deserialize)]
@@ -12,7 +12,7 @@
 struct Info {
   service: ServiceName,
   slots: NonZeroU32,
-  /// The version of its software.
+  /// The version of the backend server's software.
   #[serde(default)]
   version: Option<SoftwareVersion>,
 }
@@ -20,7 +20,7 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct Status {
-  /// Orders the reports of one process.
+  /// The sequence number of the report within its process.
   call_seq: u64,
   #[serde(deserialize_with = "duration_ms")]
   cold_left: u64,
@@ -34,7 +34,7 @@
   Ready,
 }
 
-/// Tells the platform whether the daemon takes callers.
+/// Answers the platform's readiness check.
 pub async fn serve_readiness<B>(node: Rc<Node>, request: Request<B>) -> Response<AnyBody> {
   if request.uri().path() != "/ferryyoke/ready" {
     return web::text(StatusCode::NOT_FOUND, "give GET /ferryyoke/ready");
@@ -45,7 +45,7 @@
   }
 }
 
-/// Takes the reports of the backend server.
+/// Handles the heartbeats and deregistrations of the backend server.
 pub async fn serve_control(node: Rc<Node>, request: Request<Incoming>) -> Response<AnyBody> {
   let path = request.uri().path().to_string();
   let Some(call) = path.strip_prefix("/ferryyoke/instances/") else {
@@ -58,12 +58,12 @@
     Ok(body) => body,
     Err(err) => return web::text(StatusCode::BAD_REQUEST, err.to_string()),
   };
-  let said = match call {
+  let result = match call {
     "heartbeat" => heartbeat(&node, id, &body),
     "deregister" => deregister(&node, id, &body),
     _ => return web::text(StatusCode::NOT_FOUND, "give heartbeat or deregister"),
   };
-  match said {
+  match result {
     Ok(()) => web::json(StatusCode::OK, &serde_json::json!({})),
     Err(reason) => {
       node.shared.note_foreign_report(call, &reason);
@@ -75,30 +75,30 @@
 fn heartbeat(node: &Node, id: InstanceId, body: &[u8]) -> Result<(), String> {
   let fields = Fields::of(text(body)?)?;
   let (info, status): (Info, Status) = (fields.get("Info")?, fields.get("Status")?);
-  let heard = node.backend_reported(&BackendReport {
+  let outcome = node.backend_reported(&BackendReport {
     cold_left_ms: status.cold_left,
     leaving: status.state == ReportedState::Draining,
-    process: Process { started_at: born(&fields)?, id },
+    process: Process { started_at: started_at(&fields)?, id },
     sequence: status.call_seq,
     service: info.service,
     slots: info.slots.get(),
     software: info.version,
   });
-  match heard {
+  match outcome {
     ReportOutcome::Rejected(reason) => Err(reason.into()),
     ReportOutcome::Stale | ReportOutcome::Accepted => Ok(()),
   }
 }
 
-/// Some processes say nothing of themselves as they go: then it is the one that bears the id.
+/// Handles a deregistration. Some processes send no body; then only the id identifies the process.
 fn deregister(node: &Node, id: InstanceId, body: &[u8]) -> Result<(), String> {
-  let born = if body.is_empty() { None } else { born(&Fields::of(text(body)?)?)? };
-  node.backend_deregistered(&Process { started_at: born, id });
+  let started_at = if body.is_empty() { None } else { started_at(&Fields::of(text(body)?)?)? };
+  node.backend_deregistered(&Process { id, started_at });
   Ok(())
 }
 
-/// When a process started, as it says at the top level of whatever it says.
-fn born(fields: &Fields) -> Result<Option<Born>, String> {
+/// Reads the start time of a process, a top-level field of every call.
+fn started_at(fields: &Fields) -> Result<Option<Born>, String> {
   Ok(fields.find("born")?.map(Born))
 }
 
--- a/src/platform/dialect.rs
+++ b/src/platform/dialect.rs
@@ -1,17 +1,17 @@
 use super::*;
 
-/// The header names of the platform's callers and backend servers.
+/// Returns the header names that the platform's callers and backend servers use.
 pub fn dialect() -> Dialect {
   let name = HeaderName::from_static;
   Dialect {
     caller_service: Some(name("x-caller-service")),
-    // 0, or no header, from one that is not cold.
+    // 0 or absent unless the backend server is cold.
     cold_ms: Some(name("x-cold-ms")),
     expected_instance: Some(name("x-expect-instance")),
     instance: Some(name("x-instance-id")),
     not_run: Some(name("x-not-executed")),
     organisation: Some(name("x-tenant-id")),
-    // Running, waiting and slots, joined by commas.
+    // The running requests, waiting requests and slots, separated by commas.
     reported_load: Some(name("x-server-load")),
     request_id: name("x-request-id"),
     retry_after_fractions: true,
--- a/src/platform/item.rs
+++ b/src/platform/item.rs
@@ -2,15 +2,15 @@
 
 use base64::{Engine, prelude::BASE64_STANDARD};
 
-/// An item as the store gives it.
+/// An item of the platform's store.
 pub(super) struct Item {
   entry: Entry,
-  /// Whether a watch tells that the key is gone.
+  /// Whether a watch reports the deletion of the key.
   is_gone: bool,
 }
 
 impl Item {
-  /// Reads an item. What is wrong with it is told in its value, and its key is empty where it names none.
+  /// Parses an item. An error is stored in its value, and a missing key is read as an empty one.
   pub(super) fn read(text: &str) -> Self {
     match Fields::of(text) {
       Ok(fields) => Self::of(&fields),
@@ -22,13 +22,13 @@
     }
   }
 
-  /// The item that these fields make up.
+  /// Builds an item from its fields.
   pub(super) fn of(fields: &Fields) -> Self {
     let key = fields.get::<String>("Key");
     let revision = fields.get::<u64>("Revision");
     let is_gone = fields.find::<bool>("Tombstone").map(Option::unwrap_or_default);
-    let wrong = [key.as_ref().err(), revision.as_ref().err(), is_gone.as_ref().err()];
-    let value = match wrong.into_iter().flatten().next() {
+    let errors = [key.as_ref().err(), revision.as_ref().err(), is_gone.as_ref().err()];
+    let value = match errors.into_iter().flatten().next() {
       Some(reason) => Value::unreadable(reason),
       None if is_gone == Ok(true) => Value::from(""),
       None => value(fields).map_or_else(Value::unreadable, Value::Text),
@@ -41,29 +41,29 @@
     }
   }
 
-  /// The product's own form of the item.
+  /// Converts the item to an entry.
   pub(super) fn into_entry(self) -> Entry {
     self.entry
   }
 
-  /// The product's own form of the change that the item stands for.
+  /// Converts the item to an event.
   pub(super) fn into_event(self) -> Event {
     let (key, revision) = (self.entry.key.clone(), self.entry.revision);
     Event { entry: (!self.is_gone).then_some(self.entry), key, revision }
   }
 
-  /// The key, from which the next page goes on.
+  /// Returns the key, after which the next page starts.
   pub(super) fn key(&self) -> &Key {
     &self.entry.key
   }
 
-  /// The revision of the item's last change; 0 where it names none.
+  /// Returns the revision of the item's last change, or 0 if it is missing.
   pub(super) fn revision(&self) -> Revision {
     self.entry.revision
   }
 }
 
-/// The text of an item's value.
+/// Decodes an item's value from base64 to text.
 fn value(fields: &Fields) -> Result<String, String> {
   let encoded: String = fields.get("Value")?;
   let bytes = BASE64_STANDARD.decode(encoded).map_err(|err| format!("`Value`: {err}"))?;
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,7 +1,7 @@
-//! The adapter to the users' platform: its store, its operators' configuration, its backend
-//! servers' reports and its header names, translated into the product's own types.
+//! The adapter to the users' platform. It translates the platform's store, its operators'
+//! configuration, its backend servers' reports and its header names into this crate's types.
 //!
-//! Nothing outside this folder and `deploy/` knows the platform's names, and nothing in here decides.
+//! Only this folder and `deploy/` may use the platform's names. The adapter makes no decisions.
 
 use super::*;
 
@@ -38,7 +38,7 @@
 mod store_bodies;
 mod store_client;
 
-/// A duration as the platform writes it, such as `1500ms`.
+/// Deserializes a duration in the platform's format, such as `1500ms`, into milliseconds.
 fn duration_ms<'de, D: serde::Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
   let text = String::deserialize(deserializer)?;
   let duration: DurationMs = text.parse().map_err(serde::de::Error::custom)?;
--- a/src/platform/operator_source.rs
+++ b/src/platform/operator_source.rs
@@ -1,17 +1,17 @@
 use super::*;
 
-/// Reads the configuration that the platform's operators put into its store.
+/// Reads the configuration that the platform's operators write to its store.
 #[derive(Debug, Default)]
 pub struct OperatorSource;
 
-/// The whole configuration as the operators write it.
+/// The operators' configuration format.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct OperatorConfiguration {
   limits: Limits,
   routes: Vec<OperatorRoute>,
   services: Vec<OperatorService>,
-  /// Where there are any, each request carries a key of one, but on public routes.
+  /// If there are any, every request needs a key of one of them, except on public routes.
   #[serde(default)]
   tenants: Vec<Tenant>,
   version: u64,
@@ -31,29 +31,29 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct OperatorRoute {
-  /// Regions in which requests may be served; any where empty.
+  /// Regions in which requests may be served; all if empty.
   #[serde(default)]
   allowed_regions: BTreeSet<Region>,
   host: String,
-  /// `safe` and `download` may run more than once; `unsafe` and `upload` may not.
+  /// Requests of kind `safe` and `download` may run more than once; `unsafe` and `upload` may not.
   kind: String,
-  /// Backend servers to which one request may be sent, not tries.
+  /// The number of backend servers to which a request may be sent, rather than the number of tries.
   max_attempts: u32,
   name: RouteName,
   path_prefix: String,
   #[serde(default)]
   priority: u32,
-  /// Whether callers need no key.
+  /// Whether callers may omit the key.
   #[serde(default)]
   public: bool,
   #[serde(default)]
   service: Option<ServiceName>,
   #[serde(default, deserialize_with = "optional_duration_ms")]
   target_latency: Option<u64>,
-  /// The longest time for which a request is held.
+  /// The maximum time for which the mesh holds a request.
   #[serde(deserialize_with = "duration_ms")]
   timeout: u64,
-  /// Services that share the route by weight, in place of `service`.
+  /// Services that share the route's requests by weight, instead of `service`.
   #[serde(default)]
   weighted_clusters: Vec<Share>,
 }
@@ -68,10 +68,10 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct OperatorService {
-  /// The longest time for which its backend servers stay cold.
+  /// The maximum time for which its backend servers stay cold.
   #[serde(default, deserialize_with = "optional_duration_ms")]
   cold: Option<u64>,
-  /// Requests a second that a cold backend server takes; 0 for no bound.
+  /// Requests per second that a cold backend server accepts; 0 for no limit.
   #[serde(default)]
   cold_per_s: f64,
   health_path: String,
@@ -82,7 +82,7 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct Tenant {
-  /// Regions in which its requests may be served; any where empty.
+  /// Regions in which its requests may be served; all if empty.
   #[serde(default)]
   allowed_regions: BTreeSet<Region>,
   #[serde(default)]
@@ -92,15 +92,16 @@
   name: OrganisationName,
   #[serde(default)]
   priority: Option<u32>,
-  /// Requests a second, of all daemons together; 0 for no limit.
+  /// Requests per second over all daemons; 0 for no limit.
   #[serde(default)]
   rate_per_s: f64,
 }
 
-/// While a key under this prefix is there, the operators evacuate the data hall that it names.
+/// The prefix of evacuation keys. While such a key exists, the data hall that it names is
+/// evacuated.
 const EVACUATIONS: &str = "op/evacuate/";
 
-/// The operators' orders to move a service to another version lie under this prefix, by service.
+/// The prefix of the operators' rollout orders, one per service.
 const ORDERS: &str = "op/rollout/";
 
 #[derive(Deserialize)]
@@ -147,16 +148,16 @@
   }
 }
 
-/// The version that a configuration names which cannot be read otherwise.
+/// Returns the version of a configuration that is otherwise unreadable.
 fn version_of(value: &str) -> Option<Version> {
   let value: serde_json::Value = serde_json::from_str(value).ok()?;
   value["Version"].as_u64().map(Version)
 }
 
-/// Milliseconds for which a backend server stays cold where neither it nor its service tells.
+/// Milliseconds for which a backend server stays cold if neither it nor its service sets a time.
 const COLD_DEFAULT_MS: u64 = 3_000;
 
-/// The team and the policy that stand for the platform's operators.
+/// The name of the team and of the policy that represent the platform's operators.
 const OPERATORS: &str = "platform";
 
 fn translate(read: OperatorConfiguration) -> Result<Configuration, String> {
@@ -173,7 +174,7 @@
   };
   let owner: Team = OPERATORS.parse().expect("a name");
   let policy: PolicyName = OPERATORS.parse().expect("a name");
-  // Each route brings its own attempts and timeout, so the policy holds only what routes lack.
+  // Routes set their own attempts and timeout, so only the policy's other values take effect.
   let value = Policy { attempts: 1, deadline_ms: 30_000, owner: owner.clone(), queue_length: 256 };
   next.policies.insert(policy.clone(), Revised { revision: Patch::REVISION, value });
   for service in read.services {
--- a/src/platform/rollout_status.rs
+++ b/src/platform/rollout_status.rs
@@ -2,7 +2,7 @@
 
 use super::store_bodies::Write;
 
-/// What the platform's operators read of a roll-out.
+/// The status of a rollout, written for the platform's operators.
 #[derive(Serialize)]
 #[serde(rename_all = "PascalCase")]
 struct RolloutStatus<'a> {
@@ -10,7 +10,8 @@
   target_version: &'a SoftwareVersion,
 }
 
-/// What is written for the operators together with an item, where that is the record of a roll-out.
+/// Returns the operators' status to write in the same transaction as a rollout record, or `None`
+/// for any other item.
 pub(super) fn status_beside(key: &Key, value: &str) -> Option<Write> {
   let service = rollout::keys::service_of(key)?;
   let record: Record = serde_json::from_str(value).ok()?;
--- a/src/platform/store_bodies.rs
+++ b/src/platform/store_bodies.rs
@@ -1,10 +1,10 @@
-//! The bodies of the platform's store.
+//! The request and response bodies of the platform's store.
 
 use super::*;
 
 use base64::{Engine, prelude::BASE64_STANDARD};
 
-/// One page of a list. The pages of one list are not read at one moment.
+/// One page of a list. The pages of a list don't form a consistent snapshot.
 pub(super) struct Page {
   pub(super) has_more: bool,
   pub(super) items: Vec<Item>,
@@ -12,7 +12,7 @@
 }
 
 impl Page {
-  /// Reads a page, or says why it is none.
+  /// Parses a page.
   pub(super) fn read(body: &str) -> Result<Self, String> {
     let fields = Fields::of(body)?;
     let items = fields.items("items")?;
@@ -21,14 +21,14 @@
   }
 }
 
-/// What a watch saw.
+/// The answer to a watch.
 pub(super) struct Changes {
   pub(super) items: Vec<Item>,
   pub(super) store_revision: Revision,
 }
 
 impl Changes {
-  /// Reads what a watch that went on from a revision saw, or says why that cannot be read.
+  /// Parses the answer to a watch that started after the revision `after`.
   pub(super) fn read(body: &str, after: Revision) -> Result<Self, String> {
     let fields = Fields::of(body)?;
     let items = fields.items("events")?;
@@ -37,35 +37,35 @@
   }
 }
 
-/// The store's revision, or where it cannot be read the newest one that the answer shows: a watch that goes on
-/// from there may be told again, but misses nothing.
+/// Returns the store's revision. If it is unreadable, returns the latest revision in the answer: a
+/// watch from there may repeat changes but misses none.
 fn store_revision(fields: &Fields, items: &[Item], after: Revision) -> Revision {
-  let shown = || items.iter().map(Item::revision).max().unwrap_or_default().max(after);
-  fields.get::<u64>("CurrentRev").map_or_else(|_| shown(), Revision::from)
+  let latest = || items.iter().map(Item::revision).max().unwrap_or_default().max(after);
+  fields.get::<u64>("CurrentRev").map_or_else(|_| latest(), Revision::from)
 }
 
-/// A fresh or renewed lease.
+/// The reply to a request for a lease.
 #[derive(Deserialize)]
 pub(super) struct LeaseReply {
   #[serde(rename = "Lease")]
   pub(super) lease: u64,
 }
 
-/// A transaction that was carried out.
+/// The reply to a transaction that was applied.
 #[derive(Deserialize)]
 pub(super) struct TransactionReply {
   #[serde(rename = "Revision")]
   pub(super) revision: u64,
 }
 
-/// Asks for a lease.
+/// A request for a lease.
 #[derive(Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub(super) struct LeaseCall {
   pub(super) ttl: String,
 }
 
-/// Changes some keys, all or none.
+/// An atomic change of several keys.
 #[derive(Default, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub(super) struct Transaction {
@@ -74,7 +74,7 @@
   pub(super) remove: Vec<String>,
 }
 
-/// The revision that a key must have; 0 where it must not exist.
+/// The expected revision of a key; 0 if the key must not exist.
 #[derive(Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub(super) struct Expected {
@@ -82,12 +82,12 @@
   pub(super) revision: u64,
 }
 
-/// One key to write.
+/// A write of one key.
 #[derive(Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub(super) struct Write {
   key: String,
-  /// 0 where the key goes with no lease.
+  /// The lease that the key is bound to; 0 for none.
   lease: u64,
   value: String,
 }
--- a/src/platform/store_client.rs
+++ b/src/platform/store_client.rs
@@ -6,14 +6,14 @@
   Changes, Expected, LeaseCall, LeaseReply, Page, Transaction, TransactionReply, Write,
 };
 
-/// The one client of the platform's store.
+/// A client of the platform's store.
 pub struct StoreClient {
-  caller: Rc<Caller>,
+  inner: Rc<Inner>,
 }
 
-struct Caller {
+struct Inner {
   address: SocketAddr,
-  /// The newest era that an answer told of; nothing before the first one.
+  /// The latest era seen in an answer; `None` before the first one.
   era: Cell<Option<Era>>,
   pool: Rc<web::Pool>,
   value_bytes_max: usize,
@@ -21,47 +21,48 @@
 }
 
 impl StoreClient {
-  /// A client of the store at `address`, which holds values of up to `value_bytes_max` bytes. It waits
-  /// `timeout_ms` until an answer begins, and longer where answers lately took longer.
+  /// Creates a client of the store at `address`, which holds values of up to `value_bytes_max`
+  /// bytes. The client waits at least `timeout_ms` milliseconds until an answer begins, and longer
+  /// if recent answers were slower.
   pub fn new(address: SocketAddr, timeout_ms: u64, value_bytes_max: usize) -> Self {
     let waiting = Waiting::new(timeout_ms);
     let pool = Rc::new(web::Pool::new(waiting.cap_ms()));
-    Self {
-      caller: Rc::new(Caller { address, era: Cell::default(), pool, value_bytes_max, waiting }),
-    }
+    Self { inner: Rc::new(Inner { address, era: Cell::default(), pool, value_bytes_max, waiting }) }
   }
 }
 
 impl Store for StoreClient {
   fn call(&self, request: StoreRequest) -> LocalFuture<store::Result<Reply>> {
-    let caller = self.caller.clone();
+    let inner = self.inner.clone();
     Box::pin(async move {
-      let reply = caller.call(request).await?;
-      Ok(reply.of_era(caller.era()))
+      let reply = inner.call(request).await?;
+      Ok(reply.of_era(inner.era()))
     })
   }
 
   fn era(&self) -> Era {
-    self.caller.era()
+    self.inner.era()
   }
 }
 
-/// Bytes of keys, names and lengths around the values of an answer: 500 items of a long key each.
+/// Bytes of an answer besides its values, such as keys and field names: enough for 500 items with
+/// long keys.
 const FRAME_BYTES: usize = 500 * 512;
 
-/// Bytes of values in a page of a list, to which one value may add itself: the platform's "about 1 MB".
+/// Bytes of values in a page of a list, which the platform limits to "about 1 MB". One more value
+/// may exceed it.
 const PAGE_BYTES: usize = 1 << 20;
 
-/// Milliseconds after which to call again where the store refuses a call for its load.
+/// Milliseconds to wait before the next call if the store is overloaded.
 const BUSY_RETRY_MS: u64 = 100;
 
-/// The header by which each answer tells how often the store came back from a copy.
+/// The answer header with the store's era.
 const ERA: &str = "store-era";
 
-impl Caller {
+impl Inner {
   async fn call(&self, request: StoreRequest) -> store::Result<Reply> {
     match request {
-      // Counts of an earlier era were given out again for other writes.
+      // The store has reused the counts of earlier eras for other writes.
       StoreRequest::CompareAndSwap { revision, .. } if revision.era < self.era() => {
         Err(Refusal::RevisionMoved.into())
       }
@@ -145,7 +146,8 @@
     }
   }
 
-  /// All pages. What changes between two of them is seen by a watch from the first one's revision.
+  /// Reads all pages. The revision is that of the first page, so that a watch from there reports
+  /// changes made between the pages.
   async fn list(&self, prefix: &Key, stale: bool) -> store::Result<Reply> {
     let mut entries = Vec::new();
     let mut first_revision = None;
@@ -153,7 +155,7 @@
     loop {
       let mut path = format!("/ferryyoke/kv-range?PathPrefix={prefix}");
       if !after.is_empty() {
-        path = format!("{path}&after={}", in_query(&after));
+        path = format!("{path}&after={}", percent_encode(&after));
       }
       if stale {
         path = format!("{path}&AllowStale=1");
@@ -180,7 +182,7 @@
     Ok(Reply::Changes { events, revision: seen.store_revision })
   }
 
-  /// One call and its answer; the statuses of the store become typed errors here.
+  /// Sends a call and reads its answer. Converts the store's error statuses to typed errors.
   async fn exchange<T: Serialize>(
     &self,
     kind: CallKind,
@@ -197,11 +199,11 @@
       .header(http::header::CONTENT_TYPE, "application/json")
       .body(body)
       .map_err(|err| Refusal::Invalid { reason: err.to_string() })?;
-    let (began, came, began_in) = (timer::now(), Cell::new(0), self.era.get());
-    let exchanged = self.send(kind, request, wait_ms, &came).await;
-    let (head, body) =
-      exchanged.map_err(|err| kind.failure(err, timer::now().saturating_sub(began), came.get()))?;
-    self.note_era(&head.headers, began_in)?;
+    let (started, received, era_at_start) = (timer::now(), Cell::new(0), self.era.get());
+    let exchanged = self.send(kind, request, wait_ms, &received).await;
+    let (head, body) = exchanged
+      .map_err(|err| kind.failure(err, timer::now().saturating_sub(started), received.get()))?;
+    self.update_era(&head.headers, era_at_start)?;
     let status = head.status;
     match status.as_u16() {
       200..=299 => Ok((status, body)),
@@ -217,39 +219,40 @@
     }
   }
 
-  /// The newest era that an answer told of.
+  /// Returns the latest era seen in an answer.
   fn era(&self) -> Era {
     self.era.get().unwrap_or_default()
   }
 
-  /// Notes the era of an answer to a call that began in another one, perhaps. What the store did of a call that
-  /// was under way when it went back is not known; an answer of before says nothing of now.
-  fn note_era(&self, headers: &HeaderMap, began_in: Option<Era>) -> store::Result {
-    let told =
-      headers.get(ERA).and_then(|told| told.to_str().ok()).and_then(|told| told.parse().ok());
-    let Some(told) = told else {
+  /// Updates the latest era from an answer's headers. Fails if the answer belongs to an earlier
+  /// era, because it is outdated, or if the era increased since the call started: the restore may
+  /// have undone the call.
+  fn update_era(&self, headers: &HeaderMap, era_at_start: Option<Era>) -> store::Result {
+    let era =
+      headers.get(ERA).and_then(|value| value.to_str().ok()).and_then(|text| text.parse().ok());
+    let Some(era) = era else {
       return Ok(());
     };
-    let newest = self.era();
-    if told < newest {
-      let reason = format!("an answer of era {told}, and the store is in era {newest}");
+    let latest = self.era();
+    if era < latest {
+      let reason = format!("the answer is of era {era}, but the store is in era {latest}");
       return Err(store::Error::Unknown { reason });
     }
-    self.era.set(Some(told));
-    if began_in.is_some_and(|began_in| began_in < told) {
-      let reason = format!("the store came back from a copy meanwhile, in era {told}");
+    self.era.set(Some(era));
+    if era_at_start.is_some_and(|era_at_start| era_at_start < era) {
+      let reason = format!("the store was restored from a backup during the call, to era {era}");
       return Err(store::Error::Unknown { reason });
     }
     Ok(())
   }
 
-  /// Sends a request and reads its answer, whose bytes `came` counts.
+  /// Sends a request and reads its answer. Counts the bytes of the body in `received`.
   async fn send(
     &self,
     kind: CallKind,
     request: Request<AnyBody>,
     wait_ms: u64,
-    came: &Cell<usize>,
+    received: &Cell<usize>,
   ) -> web::Result<(http::response::Parts, Bytes)> {
     let (address, pool) = (self.address, self.pool.clone());
     let answer = async move {
@@ -259,11 +262,12 @@
     let answer = self.waiting.until_begun(kind, wait_ms, answer).await?;
     let (head, body) = answer.into_parts();
     let limits = self.waiting.body_limits(self.answer_bytes_max(kind));
-    Ok((head, web::collect_while_moving(body, limits, came).await?))
+    Ok((head, web::collect_while_moving(body, limits, received).await?))
   }
 
-  /// Largest answer in bytes. A watch may bring one value of any size: several large ones cost a narrow
-  /// link more than the newest alone, which is read then.
+  /// Returns the maximum size of an answer in bytes. The answer to a watch has room for one value
+  /// of the maximum size. If it holds more, the client reads only the latest value, which costs a
+  /// slow link less.
   fn answer_bytes_max(&self, kind: CallKind) -> usize {
     let value_bytes = match kind {
       CallKind::Watch => self.value_bytes_max,
@@ -273,14 +277,15 @@
   }
 }
 
-/// What is written for an item, all or nothing.
+/// Returns the writes of a transaction for one item: the item, and the operators' status if it is a
+/// rollout record.
 fn writes(key: &Key, lease: Option<LeaseId>, value: &str) -> Vec<Write> {
-  let beside = rollout_status::status_beside(key, value);
-  iter::once(Write::new(key, lease, value)).chain(beside).collect()
+  let status = rollout_status::status_beside(key, value);
+  iter::once(Write::new(key, lease, value)).chain(status).collect()
 }
 
-/// A key as a part of a query. Another writer's may hold any character.
-fn in_query(key: &str) -> String {
+/// Percent-encodes a key for a query. Keys of other writers may hold any character.
+fn percent_encode(key: &str) -> String {
   let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-._~/".contains(&byte);
   let encode = |byte| if is_plain(byte) { char::from(byte).into() } else { format!("%{byte:02X}") };
   key.bytes().map(encode).collect()
--- a/src/standin/backend_faults.rs
+++ b/src/standin/backend_faults.rs
@@ -1,14 +1,14 @@
 use super::*;
 
-/// The faults that a stand-in backend server shows on command.
+/// The faults that a fake backend server can inject.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct BackendFaults {
-  /// Cut every answer off after half of its body.
+  /// Cut off every answer in the middle of its body.
   pub cut: bool,
-  /// Milliseconds that every request takes.
+  /// Milliseconds by which every answer is delayed.
   pub delay_ms: u64,
-  /// Answer the health endpoint with draining.
+  /// Report at the health endpoint that the backend server is draining.
   pub draining: bool,
   /// Run every request and never answer.
   pub hang: bool,
--- a/src/standin/backend_server.rs
+++ b/src/standin/backend_server.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// A stand-in backend server: runs every request, journals it, and answers what it ran.
+/// A fake backend server. It runs every request, records it in a journal and returns a summary.
 ///
-/// `GET /healthz` is its health endpoint, `GET /journal` shows what ran, and `POST /fault` takes
-/// [`BackendFaults`].
+/// `GET /healthz` is its health endpoint, `GET /journal` returns the [`Journal`], and `POST /fault`
+/// sets the [`BackendFaults`].
 pub struct BackendServer {
   /// The bound address.
   pub address: SocketAddr,
@@ -19,10 +19,10 @@
 }
 
 impl BackendServer {
-  /// Runs kept in the journal; older ones are dropped.
+  /// The maximum number of runs in the journal. Later ones are not recorded.
   const RUNS_MAX: usize = 100_000;
 
-  /// Starts to serve on `listener` under a name that answers carry.
+  /// Starts serving on `listener`. Answers contain `name`.
   pub fn start(listener: web::Listener, name: &str) -> io::Result<Self> {
     let address = listener.address()?;
     let state = Rc::new(RefCell::new(State { name: name.into(), ..State::default() }));
@@ -31,7 +31,7 @@
     Ok(Self { address, state })
   }
 
-  /// What ran so far.
+  /// Returns a copy of the journal.
   pub fn journal(&self) -> Journal {
     self.state.borrow().journal.clone()
   }
@@ -61,7 +61,7 @@
 }
 
 async fn run(state: Rc<RefCell<State>>, request: Request<Incoming>) -> Response<AnyBody> {
-  let _place = Place::enter(&state);
+  let _guard = RunningGuard::enter(&state);
   let faults = state.borrow().faults.clone();
   let index = start(&state, &request);
   let (bytes, digest, complete) = read_whole(request.into_body()).await;
@@ -85,10 +85,10 @@
   };
   let status = faults.status.and_then(|status| StatusCode::from_u16(status).ok());
   let response = web::json(status.unwrap_or(StatusCode::OK), &answer);
-  if faults.cut { cut(response) } else { response }
+  if faults.cut { truncate(response) } else { response }
 }
 
-/// Notes that a request started to run; returns its place in the journal.
+/// Records the start of a request. Returns its index in the journal.
 fn start(state: &RefCell<State>, request: &Request<Incoming>) -> usize {
   let header = |name: &str| {
     request.headers().get(name).and_then(|value| value.to_str().ok()).map(ToString::to_string)
@@ -110,7 +110,7 @@
   runs.len() - 1
 }
 
-/// The size and digest of a body, and whether it came whole.
+/// Reads a body. Returns its size in bytes, its digest and whether it was complete.
 async fn read_whole(mut body: Incoming) -> (u64, Digest, bool) {
   let mut hasher = blake3::Hasher::new();
   let mut bytes = 0;
@@ -127,8 +127,8 @@
   }
 }
 
-/// Lets the answer break off half-way.
-fn cut(response: Response<AnyBody>) -> Response<AnyBody> {
+/// Replaces the body of an answer by one that fails before its announced end.
+fn truncate(response: Response<AnyBody>) -> Response<AnyBody> {
   let (mut head, _) = response.into_parts();
   let length = HeaderValue::from_static("1000");
   head.headers.insert(http::header::CONTENT_LENGTH, length);
@@ -140,10 +140,10 @@
   Response::from_parts(head, AnyBody::streamed(stream))
 }
 
-/// Counts a request as running for as long as it lives.
-struct Place(Rc<RefCell<State>>);
+/// Counts a request as running until dropped.
+struct RunningGuard(Rc<RefCell<State>>);
 
-impl Place {
+impl RunningGuard {
   fn enter(state: &Rc<RefCell<State>>) -> Self {
     let mut inner = state.borrow_mut();
     inner.at_once += 1;
@@ -152,7 +152,7 @@
   }
 }
 
-impl Drop for Place {
+impl Drop for RunningGuard {
   fn drop(&mut self) {
     self.0.borrow_mut().at_once -= 1;
   }
--- a/src/standin/bucket.rs
+++ b/src/standin/bucket.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-/// A limit of so many calls a second, with a burst of a tenth of a second.
+/// A token bucket that limits calls per second, with a burst of a tenth of a second.
 #[derive(Clone, Debug)]
 pub struct Bucket {
   per_second: u64,
-  /// Thousandths of a call that may pass now.
+  /// The available tokens, in thousandths of a call.
   credit: u64,
   filled_at: Time,
 }
 
 impl Bucket {
-  /// A full bucket.
+  /// Creates a full bucket.
   pub fn new(now: Time, per_second: u64) -> Self {
     Self { per_second, credit: Self::burst(per_second), filled_at: now }
   }
@@ -19,7 +19,7 @@
     (per_second * 100).max(1_000)
   }
 
-  /// Takes one call, or says after how many milliseconds to come back.
+  /// Takes the token of one call. If there is none, returns the milliseconds until the next one.
   pub fn take(&mut self, now: Time) -> std::result::Result<(), u64> {
     let earned = now.since_ms(self.filled_at) * self.per_second;
     self.credit = (self.credit + earned).min(Self::burst(self.per_second));
--- a/src/standin/journal.rs
+++ b/src/standin/journal.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-/// Everything that a stand-in backend server ran.
+/// The requests that a fake backend server ran.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Journal {
-  /// The most requests that ever ran at once.
+  /// The maximum number of requests that ran at the same time.
   pub at_once_max: u32,
-  /// The runs, in the order in which they started to run.
+  /// The runs, in the order of their start.
   pub runs: Vec<Run>,
 }
--- a/src/standin/keyspace.rs
+++ b/src/standin/keyspace.rs
@@ -1,15 +1,15 @@
 use super::*;
 
-/// The content of the stand-in store. Pure: time comes in with each call.
+/// The content of the fake store. It does no I/O and gets the current time with each call.
 #[derive(Clone, Debug, Default)]
 pub struct Keyspace {
   entries: BTreeMap<Key, Stored>,
-  /// The last changes, oldest first.
+  /// The latest changes, oldest first.
   events: VecDeque<Event>,
-  /// The revision of the last change that is no longer kept.
-  forgotten: Revision,
+  /// The revision of the last change that was removed from `events`.
+  compacted: Revision,
   last_lease: LeaseId,
-  /// When each lease ends, with its life in milliseconds.
+  /// The expiry of each lease, and its time to live in milliseconds.
   leases: BTreeMap<LeaseId, (Time, u64)>,
   revision: Revision,
 }
@@ -21,15 +21,15 @@
 }
 
 impl Keyspace {
-  /// Changes kept for watches.
+  /// The maximum number of changes kept for watches.
   const EVENTS_MAX: usize = 1_000;
 
-  /// The last revision.
+  /// Returns the latest revision.
   pub fn revision(&self) -> Revision {
     self.revision
   }
 
-  /// Carries out a call. A watch answers at once; the server waits for it.
+  /// Executes a call. A watch returns at once with the changes so far; the server waits for more.
   pub fn call(&mut self, now: Time, request: &StoreRequest) -> std::result::Result<Reply, Refusal> {
     self.expire(now);
     match request {
@@ -64,28 +64,28 @@
     }
   }
 
-  /// Ends the leases whose time is up. Returns whether any ended.
+  /// Ends the expired leases. Returns whether there were any.
   pub fn expire(&mut self, now: Time) -> bool {
-    let over: Vec<LeaseId> =
+    let expired: Vec<LeaseId> =
       self.leases.iter().filter(|(_, (until, _))| now >= *until).map(|(id, _)| *id).collect();
-    for lease in &over {
+    for lease in &expired {
       self.end_lease(*lease);
     }
-    !over.is_empty()
+    !expired.is_empty()
   }
 
-  /// Another writer puts in a value that may be no text.
+  /// Writes a value for another writer, possibly an unreadable one.
   pub fn write_foreign(&mut self, key: &Key, value: Value) {
-    self.keep(key, None, value);
+    self.store(key, None, value);
   }
 
-  /// Forgets all changes: watches from before now are told so.
+  /// Removes all changes from the history, so that watches from earlier revisions are refused.
   pub fn forget_history(&mut self) {
     self.events.clear();
-    self.forgotten = self.revision;
+    self.compacted = self.revision;
   }
 
-  /// Ends all leases before their time.
+  /// Ends all leases before they expire.
   pub fn lapse_leases(&mut self) {
     let leases: Vec<LeaseId> = self.leases.keys().copied().collect();
     for lease in leases {
@@ -121,7 +121,7 @@
   }
 
   fn changes(&self, after: Revision, prefix: &Key) -> std::result::Result<Reply, Refusal> {
-    if after < self.forgotten || after > self.revision {
+    if after < self.compacted || after > self.revision {
       return Err(Refusal::Compacted);
     }
     let newer = self.events.iter().filter(|event| event.revision > after);
@@ -169,28 +169,28 @@
     if value.len() > VALUE_BYTES_MAX {
       return Err(Refusal::ValueTooLarge);
     }
-    self.keep(key, lease, Value::from(value));
+    self.store(key, lease, Value::from(value));
     Ok(Reply::Written { revision: self.revision })
   }
 
-  fn keep(&mut self, key: &Key, lease: Option<LeaseId>, value: Value) {
+  fn store(&mut self, key: &Key, lease: Option<LeaseId>, value: Value) {
     self.revision = self.revision.next();
     let entry = Entry { key: key.clone(), revision: self.revision, value };
     self.entries.insert(key.clone(), Stored { entry: entry.clone(), lease });
-    self.note(key, Some(entry));
+    self.record_event(key, Some(entry));
   }
 
   fn remove(&mut self, key: &Key) {
     if self.entries.remove(key).is_some() {
       self.revision = self.revision.next();
-      self.note(key, None);
+      self.record_event(key, None);
     }
   }
 
-  fn note(&mut self, key: &Key, entry: Option<Entry>) {
+  fn record_event(&mut self, key: &Key, entry: Option<Entry>) {
     self.events.push_back(Event { entry, key: key.clone(), revision: self.revision });
     if self.events.len() > Self::EVENTS_MAX {
-      self.forgotten = self.events.pop_front().map_or(self.forgotten, |event| event.revision);
+      self.compacted = self.events.pop_front().map_or(self.compacted, |event| event.revision);
     }
   }
 }
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for what the platform gives: the store and a backend server.
+//! Fakes of the platform's store and of a backend server, for `ferryyoke dev` and the tests.
 //!
-//! `ferryyoke dev` and the tests run against these. They are not for production.
+//! They are not for production.
 
 use super::*;
 
--- a/src/standin/store_server.rs
+++ b/src/standin/store_server.rs
@@ -1,9 +1,10 @@
 use super::*;
 
-/// The stand-in store: one keyspace over HTTP, with enforced limits and faults on command.
+/// The fake store: a keyspace over HTTP, with rate limits and fault injection.
 ///
-/// `POST /v1/call` takes a [`StoreRequest`]; `POST /fault` takes [`StoreFaults`]; `GET /calls`
-/// counts the calls; `POST /save` and `POST /restore` keep and bring back the content.
+/// `POST /v1/call` executes a [`StoreRequest`], `POST /fault` sets the [`StoreFaults`], and `GET
+/// /calls` returns the number of calls by kind. `POST /save` and `POST /restore` save and restore
+/// the content.
 pub struct StoreServer {
   /// The bound address.
   pub address: SocketAddr,
@@ -16,20 +17,20 @@
   keyspace: Keyspace,
   reads: Bucket,
   saved: Option<Keyspace>,
-  /// Wakes waiting watches.
+  /// Wakes the waiting watches.
   waiting: Vec<futures_channel::oneshot::Sender<()>>,
   writes: Bucket,
 }
 
 impl StoreServer {
-  /// Milliseconds that every reply takes.
+  /// Milliseconds that every reply takes at least.
   const LATENCY_MS: u64 = 2;
-  /// Calls that do not write, in a second.
+  /// The rate limit of calls that don't write, per second.
   pub const READS_PER_SECOND: u64 = 2_000;
-  /// Calls that write, in a second.
+  /// The rate limit of calls that write, per second.
   pub const WRITES_PER_SECOND: u64 = 400;
 
-  /// Starts to serve on `listener`.
+  /// Starts serving on `listener`.
   pub fn start(listener: web::Listener) -> io::Result<Self> {
     let address = listener.address()?;
     let now = Time(0);
@@ -67,7 +68,7 @@
     }
   }
 
-  /// Counts a call and applies the limits.
+  /// Counts a call and applies the rate limits.
   fn admit(&mut self, request: &StoreRequest) -> std::result::Result<(), Refusal> {
     let kind = match request {
       StoreRequest::Watch { .. } => "watch",
@@ -90,7 +91,7 @@
     result
   }
 
-  /// Ends the leases whose time is up.
+  /// Ends the expired leases.
   fn expire(&mut self) {
     let now = self.now();
     if self.keyspace.expire(now) {
@@ -98,8 +99,8 @@
     }
   }
 
-  /// Bends the reply of a watch as the faults demand.
-  fn bend(&mut self, reply: Reply) -> Reply {
+  /// Applies the configured faults to the reply of a watch.
+  fn apply_watch_faults(&mut self, reply: Reply) -> Reply {
     let Reply::Changes { mut events, revision } = reply else {
       return reply;
     };
@@ -176,25 +177,25 @@
   }
 }
 
-/// Waits until there is a change to report or the watch's time is up.
+/// Waits until there is a change to report or the watch's wait is over.
 async fn watch(
   state: &Rc<RefCell<State>>,
   request: &StoreRequest,
 ) -> std::result::Result<Reply, Refusal> {
-  /// Leases are looked at this often, so that their end wakes a watch.
-  const LOOK_MS: u64 = 100;
+  /// Milliseconds between checks for expired leases, whose end wakes watches.
+  const EXPIRY_CHECK_MS: u64 = 100;
   let started = state.borrow().now();
   loop {
-    let silent = state.borrow().faults.silent_watches;
+    let is_silent = state.borrow().faults.silent_watches;
     let reply = state.borrow_mut().call(request)?;
     let has_changes = matches!(&reply, Reply::Changes { events, .. } if !events.is_empty());
     let is_over = state.borrow().now().since_ms(started) >= request.wait_ms();
-    if !silent && (has_changes || is_over) {
-      return Ok(state.borrow_mut().bend(reply));
+    if !is_silent && (has_changes || is_over) {
+      return Ok(state.borrow_mut().apply_watch_faults(reply));
     }
     let (wake, woken) = futures_channel::oneshot::channel();
     state.borrow_mut().waiting.push(wake);
-    monoio::time::timeout(Duration::from_millis(LOOK_MS), woken).await.ok();
+    monoio::time::timeout(Duration::from_millis(EXPIRY_CHECK_MS), woken).await.ok();
     state.borrow_mut().expire();
   }
 }
--- a/src/store/call_kind.rs
+++ b/src/store/call_kind.rs
@@ -1,36 +1,37 @@
 use super::*;
 
-/// What a call to the store is for. Calls of a kind take about the same time to answer.
+/// The kind of a call to the store. The store answers calls of one kind in about the same time.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum CallKind {
-  /// Makes, renews or ends a lease.
+  /// Grants, renews or revokes a lease.
   Lease,
-  /// Reads keys as they are.
+  /// Reads the current value of keys.
   Read,
   /// Waits for changes.
   Watch,
-  /// Writes or removes keys.
+  /// Writes or deletes keys.
   Write,
 }
 
 impl CallKind {
-  /// The error of a call that came to nothing after it `waited`, when `bytes` of its answer's body had
-  /// come. All of it goes into the log: a refused connection, a silent store and a narrow link look alike
-  /// to callers.
+  /// Returns the error of a call that failed after it `waited`, with `bytes` of the answer's body
+  /// received. The error names all of them, because a refused connection, a silent store and a slow
+  /// link look the same to the code that made the call.
   pub fn failure(self, err: web::Error, waited: Duration, bytes: usize) -> Error {
     let failure = match err {
-      // Reads change nothing, so what came of them is certain.
+      // A read changes nothing, so its failure leaves no doubt about the state of the store.
       web::Error::TooLarge { bytes_max } if matches!(self, Self::Read | Self::Watch) => {
         return Refusal::AnswerTooLarge { bytes_max }.into();
       }
       other => Error::from(other),
     };
     let waited_ms = waited.as_millis();
-    let told = |reason| format!("{self}: {reason}; waited {waited_ms} ms, {bytes} bytes came");
+    let detailed =
+      |reason| format!("{self}: {reason}; waited {waited_ms} ms, received {bytes} bytes");
     match failure {
-      Error::Unknown { reason } => Error::Unknown { reason: told(reason) },
+      Error::Unknown { reason } => Error::Unknown { reason: detailed(reason) },
       Error::Refused(Refusal::Unreachable { reason }) => {
-        Refusal::Unreachable { reason: told(reason) }.into()
+        Refusal::Unreachable { reason: detailed(reason) }.into()
       }
       Error::Refused(_) => failure,
     }
--- a/src/store/entry.rs
+++ b/src/store/entry.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-/// A stored value.
+/// A key with its value.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Entry {
   /// The key.
   pub key: Key,
-  /// The store's revision that last wrote the key.
+  /// The store's revision of the last write of the key.
   pub revision: Revision,
   /// The value.
   pub value: Value,
--- a/src/store/era.rs
+++ b/src/store/era.rs
@@ -1,6 +1,7 @@
 use super::*;
 
 text::number! {
-  /// How often the store has come back from a copy, and lost what it had acknowledged since the copy was made.
+  /// The number of times the store was restored from a backup. Each restore loses the writes that
+  /// the store acknowledged after the backup.
   Era, "era"
 }
--- a/src/store/error.rs
+++ b/src/store/error.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-/// Why a call gave no reply. The two kinds must never be mixed up.
+/// Why a call to the store failed. Code that retries must distinguish the two cases.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Error {
-  /// The call changed nothing.
+  /// The store didn't carry out the call, so nothing changed.
   Refused(Refusal),
-  /// The call may have taken effect or not.
+  /// The outcome is unknown: the call may have taken effect.
   Unknown {
     /// What went wrong.
     reason: String,
--- a/src/store/event.rs
+++ b/src/store/event.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// One change of a key, as a watch reports it.
+/// A change of a key, reported by a watch.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Event {
-  /// The new entry; nothing where the key was deleted.
+  /// The new entry, or `None` if the key was deleted.
   pub entry: Option<Entry>,
   /// The key.
   pub key: Key,
-  /// The store's revision that made the change.
+  /// The store's revision of the change.
   pub revision: Revision,
 }
--- a/src/store/http_store.rs
+++ b/src/store/http_store.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A client of the store over HTTP with JSON, on a few kept connections.
+/// A client of the store that sends JSON over HTTP, with a connection pool.
 pub struct HttpStore {
   address: SocketAddr,
   pool: Rc<web::Pool>,
@@ -8,7 +8,8 @@
 }
 
 impl HttpStore {
-  /// A client of the store at `address` that waits `timeout_ms` for each reply.
+  /// Creates a client of the store at `address`. Calls time out after `timeout_ms` milliseconds,
+  /// plus the time that a watch waits.
   pub fn new(address: SocketAddr, timeout_ms: u64) -> Self {
     Self { address, pool: Rc::new(web::Pool::new(timeout_ms)), timeout_ms }
   }
@@ -23,7 +24,7 @@
       .header(http::header::HOST, address.to_string())
       .header(http::header::CONTENT_TYPE, "application/json")
       .body(web::full(text))
-      .expect("a fixed head");
+      .expect("the request head is valid");
     let (status, body) = pool.exchange(address, post, 4 * VALUE_BYTES_MAX).await?;
     let malformed = |err| Error::Unknown { reason: format!("malformed reply: {err}") };
     if status == StatusCode::OK {
--- a/src/store/key.rs
+++ b/src/store/key.rs
@@ -6,17 +6,17 @@
 pub struct Key(String);
 
 impl Key {
-  /// Makes a key of `parts`, joined by `/`.
+  /// Joins `parts` with `/`.
   pub fn of(parts: &[&str]) -> Self {
     Self(parts.join("/"))
   }
 
-  /// The key as text.
+  /// Returns the key as text.
   pub fn as_str(&self) -> &str {
     &self.0
   }
 
-  /// Whether the key starts with `prefix`.
+  /// Returns whether the key starts with `prefix`.
   pub fn is_under(&self, prefix: &Key) -> bool {
     self.0.starts_with(&prefix.0)
   }
--- a/src/store/lease_id.rs
+++ b/src/store/lease_id.rs
@@ -1,6 +1,6 @@
 use super::*;
 
 text::number! {
-  /// Names a lease of the store.
+  /// Identifies a lease of the store.
   LeaseId, "lease id"
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,6 +1,6 @@
-//! The platform's key-value service as this project sees it: a trait, typed errors and a client.
+//! Access to the platform's key-value store: a trait, typed errors and an HTTP client.
 //!
-//! `docs/STORE.md` says what the client expects of any such service.
+//! `docs/STORE.md` lists what the client requires of a store.
 
 use super::*;
 
@@ -26,24 +26,25 @@
 mod value;
 mod waiting;
 
-/// Result of one call.
+/// The result of one call to the store.
 pub type Result<T = (), E = Error> = std::result::Result<T, E>;
 
-/// Largest value in bytes, where the settings name no other.
+/// The default maximum size of a value, in bytes.
 pub const VALUE_BYTES_MAX: usize = 1 << 20;
 
-/// The platform's key-value service.
+/// The platform's key-value store.
 pub trait Store {
-  /// Sends one request and waits for its reply. Ends soon after the request's own wait where the store
-  /// is silent, and may go on while bytes of a reply keep coming.
+  /// Sends a request and waits for its reply. If the store is silent, the call fails soon after the
+  /// time that the request lets the store wait. It may take longer while bytes of a reply keep
+  /// arriving.
   fn call(&self, request: StoreRequest) -> LocalFuture<Result<Reply>>;
 
-  /// The newest era that any answer has told of. An answer of an earlier one is not believed, and what was under
-  /// way when the era rose is unknown.
+  /// Returns the latest era seen in an answer. Answers of an earlier era are discarded. The outcome
+  /// of calls in progress when the era increases is unknown.
   fn era(&self) -> Era {
     Era::default()
   }
 }
 
-/// A future of the daemon's one thread.
+/// A boxed future for the daemon's single-threaded runtime.
 pub type LocalFuture<T> = Pin<Box<dyn Future<Output = T>>>;
--- a/src/store/patience.rs
+++ b/src/store/patience.rs
@@ -1,19 +1,21 @@
 use super::*;
 
-/// How long the store may take until its answer begins, by what its answers lately took.
+/// The timeout until the store's answer begins, adapted to the latency of recent answers.
 ///
-/// Only answers lengthen the limit, also those that come after a call was given up: a store that is slow is
-/// served, while one that is silent is noticed as soon as ever, and asked anew as soon once it is back.
+/// Only answers raise the timeout, including those that arrive after their call timed out. So calls
+/// to a slow store succeed, while an outage is still detected within the minimum timeout, and so is
+/// its end.
 #[derive(Clone, Debug)]
 pub struct Patience {
   floor_ms: u64,
-  /// By kind: a slow kind keeps its limit while others are answered fast.
+  /// By kind of call, so that a slow kind keeps its timeout while others are answered fast.
   lately: BTreeMap<CallKind, Lately>,
-  /// From the answers to all calls: what one kind found out spares the others a call in vain.
+  /// From the answers to calls of any kind, so that a slow store costs only one kind a timed-out
+  /// call.
   lately_any: Option<Lately>,
 }
 
-/// What some calls lead to expect.
+/// The timeout that follows from recent calls.
 #[derive(Clone, Copy, Debug)]
 struct Lately {
   at: Time,
@@ -21,47 +23,51 @@
 }
 
 impl Patience {
-  /// How many times as long as an answer lately took the next one may take: the times of one slow store
+  /// The timeout as a multiple of the latency of a recent answer. Latencies of one slow store
   /// seldom differ by more.
   const MARGIN: u64 = 2;
-  /// The longest limit, as a multiple of the floor: with the usual 1 s, a renewal may still fail twice
-  /// within a lease of 15 s that is renewed three times.
+  /// The maximum timeout as a multiple of the minimum. With the usual minimum of 1 s, a renewal may
+  /// still fail twice within a lease of 15 s that is renewed three times.
   const CAP: u64 = 4;
-  /// Milliseconds after which an answer says nothing of the next one any more: a slow spell or an outage of
-  /// the store lasts for seconds.
+  /// Milliseconds for which the latency of an answer counts. Slow periods and outages of the store
+  /// last for seconds.
   const FORGET_MS: u64 = 30_000;
 
-  /// Grants `floor_ms` to a store that answers fast, or of which nothing is known.
+  /// Creates a timeout with a minimum of `floor_ms` milliseconds, which applies until a slow answer
+  /// raises it.
   pub fn new(floor_ms: u64) -> Self {
     Self { floor_ms, lately: BTreeMap::new(), lately_any: None }
   }
 
-  /// Milliseconds granted to a store that answers fast.
+  /// Returns the minimum timeout in milliseconds.
   pub fn floor_ms(&self) -> u64 {
     self.floor_ms
   }
 
-  /// The longest limit in milliseconds: answers that take longer are not waited for by anybody.
+  /// Returns the maximum timeout in milliseconds. Answers that take longer are discarded.
   pub fn cap_ms(&self) -> u64 {
     self.floor_ms * Self::CAP
   }
 
-  /// Milliseconds that a call may wait until its answer begins, besides what the store waits on purpose.
+  /// Returns the timeout in milliseconds until the answer begins. The time that a watch asks the
+  /// store to wait is not included.
   pub fn limit_ms(&self, now: Time, kind: CallKind) -> u64 {
     let own_ms = self.recent_ms(now, self.lately.get(&kind));
     own_ms.max(self.recent_ms(now, self.lately_any.as_ref()))
   }
 
-  /// An answer began after `took_ms`, in time or not. A limit falls by half an answer, so that a fast one
-  /// among slow ones does not cut off the next.
+  /// Records that an answer began after `took_ms` milliseconds, in time or late. Each answer at
+  /// most halves the timeout, so that one fast answer among slow ones doesn't make the next call
+  /// time out.
   pub fn answered(&mut self, now: Time, kind: CallKind, took_ms: u64) {
     self.note(now, kind, took_ms * Self::MARGIN);
   }
 
-  /// No answer began within `waited_ms`. Where the store was slow and is silent now, that is noticed sooner
-  /// from call to call; where it is slower still, its answer says so when it comes.
+  /// Records that no answer began within `waited_ms` milliseconds, and halves the timeout. If a
+  /// slow store has become silent, each further call detects that sooner. If it has become slower,
+  /// its late answers raise the timeout again.
   pub fn given_up(&mut self, now: Time, kind: CallKind, waited_ms: u64) {
-    // A call from before the last answer says nothing new.
+    // A call with a shorter timeout than the current one started before the last answer.
     if waited_ms >= self.limit_ms(now, kind) {
       self.note(now, kind, self.floor_ms);
     }
@@ -72,7 +78,7 @@
     recent.map_or(self.floor_ms, |one| one.limit_ms)
   }
 
-  /// Halves what the kind and all calls lead to expect, where `least_ms` is not more.
+  /// Halves the timeouts of the kind and of all calls, but not below `least_ms`.
   fn note(&mut self, now: Time, kind: CallKind, least_ms: u64) {
     let fallen = |lately: Option<&Lately>| {
       let limit_ms = least_ms.max(self.recent_ms(now, lately) / 2);
--- a/src/store/refusal.rs
+++ b/src/store/refusal.rs
@@ -1,37 +1,38 @@
 use super::*;
 
-/// Why the store did not carry out a call. Nothing changed.
+/// Why the store didn't carry out a call. Nothing changed.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "refused")]
 pub enum Refusal {
-  /// More changes came at once than a watch takes: read the newest.
+  /// The answer is larger than the client accepts. After a watch, read the current values instead.
   AnswerTooLarge {
-    /// Most bytes that an answer may have.
+    /// The maximum size of an answer, in bytes.
     bytes_max: usize,
   },
-  /// The revision that a watch goes on from is no longer known: read anew.
+  /// The store no longer holds the changes after the watch's revision. Read the current values
+  /// instead.
   Compacted,
-  /// The key exists already.
+  /// The key already exists.
   Exists,
-  /// The call was not understood.
+  /// The store can't parse the call.
   Invalid {
-    /// What was wrong.
+    /// The error.
     reason: String,
   },
   /// The lease has ended.
   LeaseEnded,
-  /// The key has another revision, or none.
+  /// The key has another revision, or doesn't exist.
   RevisionMoved,
-  /// Too many calls.
+  /// The store's rate limit is exceeded.
   TooMany {
-    /// Milliseconds after which to call again.
+    /// Milliseconds to wait before the next call.
     retry_after_ms: u64,
   },
   /// The value is larger than [`VALUE_BYTES_MAX`].
   ValueTooLarge,
-  /// No connection could be made, so nothing was sent.
+  /// The connection failed, so nothing was sent.
   Unreachable {
-    /// What went wrong.
+    /// The error.
     reason: String,
   },
 }
--- a/src/store/reply.rs
+++ b/src/store/reply.rs
@@ -1,33 +1,33 @@
 use super::*;
 
-/// What the store answers to a call that it carried out.
+/// The store's reply to a call that it carried out.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "reply")]
 pub enum Reply {
-  /// The changes that a watch waited for; none where its time ran out.
+  /// The changes that a watch waited for; empty if its wait ended without one.
   Changes {
     /// The changes, oldest first.
     events: Vec<Event>,
-    /// The store's revision: the next watch goes on from here.
+    /// The store's revision, from which the next watch continues.
     revision: Revision,
   },
-  /// The lease ended or the key is gone.
+  /// The lease was revoked or the key deleted.
   Done,
-  /// The entry that a read found.
+  /// The result of a read.
   Entry {
-    /// The entry; nothing where the key does not exist.
+    /// The entry, or `None` if the key doesn't exist.
     entry: Option<Entry>,
     /// The store's revision.
     revision: Revision,
   },
-  /// What a list found.
+  /// The result of a list.
   Entries {
-    /// The entries, by key.
+    /// The entries, ordered by key.
     entries: Vec<Entry>,
     /// The store's revision.
     revision: Revision,
   },
-  /// A lease was made or renewed.
+  /// A lease was granted or renewed.
   Lease {
     /// The lease.
     lease: LeaseId,
@@ -40,7 +40,7 @@
 }
 
 impl Reply {
-  /// The same reply of a store in that era.
+  /// Sets the era of all revisions in the reply.
   #[must_use]
   pub fn of_era(mut self, era: Era) -> Self {
     match &mut self {
--- a/src/store/revision.rs
+++ b/src/store/revision.rs
@@ -1,21 +1,22 @@
 use super::*;
 
-/// A point in the history of the store: its own count of writes, of which every write takes the next one.
+/// A point in the history of the store: its write counter, which each write increments.
 ///
-/// The store may come back from a copy. Then it has forgotten some writes and gives their counts out again, so
-/// counts of two eras say nothing about each other: whatever is of a later era is later.
+/// When the store is restored from a backup, it loses some writes and reuses their counts. So
+/// counts of different eras can't be compared, and any revision of a later era is later.
 #[derive(
   Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize,
 )]
 #[serde(from = "RevisionForm", into = "RevisionForm")]
 pub struct Revision {
-  /// How often the store had come back from a copy. Compared first.
+  /// The number of restores from a backup so far. Compared first.
   pub era: Era,
-  /// Writes in the history that this era goes on from.
+  /// The number of writes, including those before the backup that this era started from.
   pub count: u64,
 }
 
-/// A revision as daemons tell it to each other. Most stores never go back, and beats stay short.
+/// The serialized form of a revision. Revisions of era 0, the usual case, are a single number,
+/// which keeps heartbeats short.
 #[derive(Deserialize, Serialize)]
 #[serde(untagged)]
 enum RevisionForm {
@@ -24,7 +25,7 @@
 }
 
 impl Revision {
-  /// The revision of the next write.
+  /// Returns the revision of the next write.
   #[must_use]
   pub fn next(self) -> Self {
     Self { count: self.count.saturating_add(1), ..self }
@@ -41,7 +42,7 @@
 }
 
 impl From<u64> for Revision {
-  /// A count of a store that never went back.
+  /// Creates a revision of era 0.
   fn from(count: u64) -> Self {
     Self { era: Era(0), count }
   }
--- a/src/store/store_request.rs
+++ b/src/store/store_request.rs
@@ -1,35 +1,35 @@
 use super::*;
 
-/// One call to the store.
+/// A call to the store.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "op")]
 pub enum StoreRequest {
-  /// Replaces a value where the key still has that revision.
+  /// Replaces a value if the key still has the given revision.
   CompareAndSwap {
     /// The key.
     key: Key,
-    /// The revision that the key must have.
+    /// The expected revision of the key.
     revision: Revision,
     /// The new value.
     value: String,
   },
-  /// Writes a value where the key does not exist.
+  /// Writes a value if the key doesn't exist.
   Create {
     /// The key.
     key: Key,
-    /// The lease that the key goes with; kept forever where absent.
+    /// The lease that the key is bound to. Without one the key never expires.
     lease: Option<LeaseId>,
     /// The value.
     value: String,
   },
-  /// Removes a key.
+  /// Deletes a key.
   Delete {
     /// The key.
     key: Key,
   },
-  /// Makes a lease.
+  /// Grants a lease.
   GrantLease {
-    /// Milliseconds until the lease ends unless renewed.
+    /// Milliseconds until the lease expires unless renewed.
     ttl_ms: u64,
   },
   /// Reads all keys under a prefix.
@@ -37,16 +37,16 @@
     /// The prefix.
     prefix: Key,
   },
-  /// Reads all keys under a prefix as they were a moment ago, which costs the store less.
+  /// Reads all keys under a prefix, possibly slightly stale, which costs the store less.
   ListStale {
     /// The prefix.
     prefix: Key,
   },
-  /// Writes a value, whatever the key has.
+  /// Writes a value unconditionally.
   Put {
     /// The key.
     key: Key,
-    /// The lease that the key goes with; kept forever where absent.
+    /// The lease that the key is bound to. Without one the key never expires.
     lease: Option<LeaseId>,
     /// The value.
     value: String,
@@ -56,29 +56,29 @@
     /// The key.
     key: Key,
   },
-  /// Starts the time of a lease anew.
+  /// Renews a lease for its full time.
   RenewLease {
     /// The lease.
     lease: LeaseId,
   },
-  /// Ends a lease and removes its keys.
+  /// Revokes a lease and deletes its keys.
   RevokeLease {
     /// The lease.
     lease: LeaseId,
   },
   /// Waits for changes under a prefix.
   Watch {
-    /// Only changes above this revision count.
+    /// Only changes after this revision are reported.
     after: Revision,
     /// The prefix.
     prefix: Key,
-    /// Milliseconds until the store replies without any change.
+    /// Milliseconds after which the store replies even without a change.
     wait_ms: u64,
   },
 }
 
 impl StoreRequest {
-  /// Whether the request may change the store.
+  /// Returns whether the request may change the store.
   pub fn is_write(&self) -> bool {
     !matches!(
       self,
@@ -86,7 +86,7 @@
     )
   }
 
-  /// Milliseconds that the store may wait on purpose before it replies.
+  /// Returns the milliseconds that the request lets the store wait for a change.
   pub fn wait_ms(&self) -> u64 {
     match self {
       Self::Watch { wait_ms, .. } => *wait_ms,
--- a/src/store/value.rs
+++ b/src/store/value.rs
@@ -1,28 +1,29 @@
 use super::*;
 
-/// The value of an entry: text, or what another writer left in its place.
+/// The value of an entry: text, or the reason why it can't be read.
 ///
-/// An answer of the store holds items of several writers. One that cannot be read is a value of its own, so
-/// that it hides no other item of the answer; whoever reads the entry decides what it means.
+/// An answer of the store holds items of several writers. An unreadable item is a value of its own,
+/// so that the other items of the answer can still be read. The code that reads the entry decides
+/// how to handle it.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(untagged)]
 pub enum Value {
-  /// What a writer put there.
+  /// The text that was written.
   Text(String),
-  /// The bytes are no text, or the item lacks what makes one.
+  /// The bytes aren't valid UTF-8, or the item is malformed.
   Unreadable {
-    /// What is wrong with it.
+    /// The reason.
     unreadable: String,
   },
 }
 
 impl Value {
-  /// A value that cannot be read, and why.
+  /// Creates a value that can't be read, with the reason.
   pub fn unreadable(reason: impl Display) -> Self {
     Self::Unreadable { unreadable: reason.to_string() }
   }
 
-  /// The text, or why there is none.
+  /// Returns the text, or why the value can't be read.
   pub fn text(&self) -> Result<&str, String> {
     match self {
       Self::Text(text) => Ok(text),
@@ -30,7 +31,7 @@
     }
   }
 
-  /// What the text holds as JSON, or why it holds no such thing.
+  /// Decodes the text as JSON of type `T`.
   pub fn decode<T: DeserializeOwned>(&self) -> Result<T, String> {
     serde_json::from_str(self.text()?).map_err(|err| err.to_string())
   }
--- a/src/store/waiting.rs
+++ b/src/store/waiting.rs
@@ -5,31 +5,32 @@
   futures_util::future::{Either, select},
 };
 
-/// Waits for answers of the store as [`Patience`] says, and tells it what they took.
+/// Waits for answers of the store with the timeouts of [`Patience`], and reports their latency to
+/// it.
 pub struct Waiting {
   patience: RefCell<Patience>,
   started: Duration,
 }
 
 impl Waiting {
-  /// For how long a body may stand still, as a multiple of the floor: with the usual 1 s, longer than other
-  /// bytes on a narrow link hold one up.
+  /// The idle timeout of a body as a multiple of the minimum timeout. With the usual minimum of 1
+  /// s, this is longer than other traffic on a slow link delays a body.
   const BODY_SILENT: u64 = 4;
-  /// How long a body may take in all while bytes keep coming, as a multiple of the floor: with the usual
-  /// 1 s, the largest answer of a store of 1 MB values needs 25 s at 1 Mbit/s.
+  /// The total timeout of a body as a multiple of the minimum timeout, usually 1 s. The largest
+  /// answer of a store of 1 MB values needs 25 s at 1 Mbit/s.
   const BODY_WHOLE: u64 = 60;
 
-  /// Grants `floor_ms` until an answer begins, and more where answers lately took longer.
+  /// Creates a waiter with a minimum timeout of `floor_ms` milliseconds until an answer begins.
   pub fn new(floor_ms: u64) -> Rc<Self> {
     Rc::new(Self { patience: RefCell::new(Patience::new(floor_ms)), started: timer::now() })
   }
 
-  /// Longest time in milliseconds that anybody waits until an answer begins.
+  /// Returns the maximum timeout in milliseconds until an answer begins.
   pub fn cap_ms(&self) -> u64 {
     self.patience.borrow().cap_ms()
   }
 
-  /// What is granted to the body of an answer.
+  /// Returns the limits on the size and duration of an answer's body.
   pub fn body_limits(&self, bytes_max: usize) -> web::BodyLimits {
     let floor_ms = self.patience.borrow().floor_ms();
     web::BodyLimits {
@@ -39,9 +40,9 @@
     }
   }
 
-  /// Waits until an answer begins, besides the `wait_ms` that the store waits on purpose. An answer that is
-  /// late for its call is still awaited: what it took is the only way to tell a slow store from a silent
-  /// one.
+  /// Waits until an answer begins, for the `wait_ms` milliseconds that the store may wait plus the
+  /// timeout. After a timeout, a task still waits for the answer up to the maximum timeout, because
+  /// only its latency distinguishes a slow store from a silent one.
   pub async fn until_begun<T: 'static>(
     self: &Rc<Self>,
     kind: CallKind,
@@ -61,7 +62,7 @@
         }
         Either::Right(((), late)) => answer = late,
       }
-      // Answers to other calls may have shown meanwhile that the store is slow.
+      // Slow answers to other calls may have raised the timeout meanwhile.
       let longer_ms = self.limit_ms(kind);
       if longer_ms <= limit_ms {
         break;
@@ -84,8 +85,8 @@
     self.patience.borrow().limit_ms(self.now(), kind)
   }
 
-  /// Notes what an answer took. Before the store's own wait was over, it may have come at any time after
-  /// what it tells of happened.
+  /// Records the latency of an answer. Skips an answer within `wait_ms`, because the time of the
+  /// change that it reports is unknown.
   fn note(&self, kind: CallKind, wait_ms: u64, sent: Stopwatch, is_answered: bool) {
     let took_ms = sent.read().map(|took| u64::try_from(took.as_millis()).unwrap_or(u64::MAX));
     if let Some(took_ms) = took_ms.filter(|took_ms| is_answered && *took_ms >= wait_ms) {
--- a/tests/operator_source.rs
+++ b/tests/operator_source.rs
@@ -1,4 +1,4 @@
-//! What the adapter makes of the configurations that the platform's operators write.
+//! Tests how the adapter reads the configurations that the platform's operators write.
 
 use {
   ferryyoke::{
@@ -11,8 +11,8 @@
   std::collections::BTreeSet,
 };
 
-/// A configuration with one route, each kind of field given once.
-fn written(kind: &str) -> Value {
+/// A configuration with one route of the given kind.
+fn configuration_json(kind: &str) -> Value {
   json!({
     "Limits": {
       "HeaderTimeout": "3000ms", "IdleTimeout": "15000ms",
@@ -44,12 +44,12 @@
 
 fn is_repeatable(kind: &str) -> bool {
   let name: RouteName = "minutes".parse().expect("a name");
-  let configuration = read(&written(kind));
+  let configuration = read(&configuration_json(kind));
   configuration.routes[&name].value.repeatable
 }
 
 #[test]
-fn every_kind_of_request_is_known_and_only_reads_may_run_again() {
+fn every_kind_of_request_is_known_and_only_reads_are_repeatable() {
   assert!(is_repeatable("safe"));
   assert!(is_repeatable("download"));
   assert!(!is_repeatable("unsafe"));
@@ -57,10 +57,10 @@
 }
 
 #[test]
-fn a_route_is_read_whole() {
+fn all_fields_of_a_route_are_read() {
   let name: RouteName = "minutes".parse().expect("a name");
-  let configuration = read(&written("safe"));
-  configuration.validate().expect("a sound configuration");
+  let configuration = read(&configuration_json("safe"));
+  configuration.validate().expect("a valid configuration");
   let route = &configuration.routes[&name].value;
   assert_eq!(route.host.as_deref(), Some("minutes.example"));
   assert_eq!(route.path_prefix, "/minutes/");
@@ -78,35 +78,35 @@
 
 #[test]
 fn an_unknown_kind_is_refused_with_the_version_and_the_reason() {
-  let refused = OperatorSource.read(&written("odd").to_string()).expect_err("a refusal");
+  let refused = OperatorSource.read(&configuration_json("odd").to_string()).expect_err("a refusal");
   assert_eq!(refused.version, Some(Version(7)));
   assert!(refused.reason.contains("`odd` is not a kind of request"), "{}", refused.reason);
 }
 
 #[test]
-fn what_lacks_a_bound_or_a_service_is_refused() {
+fn a_route_without_a_required_field_or_a_known_service_is_refused() {
   for field in ["MaxAttempts", "Timeout", "Host", "Name", "PathPrefix", "Kind"] {
-    let mut value = written("safe");
+    let mut value = configuration_json("safe");
     value["Routes"][0].as_object_mut().expect("a route").remove(field);
     let refused = OperatorSource.read(&value.to_string()).expect_err(field);
     assert_eq!(refused.version, Some(Version(7)), "{field}");
   }
-  let mut value = written("safe");
+  let mut value = configuration_json("safe");
   value["Routes"][0]["WeightedClusters"][1]["Service"] = json!("nowhere");
-  let unsound = read(&value).validate();
-  assert!(unsound.is_err(), "a route to an unknown service");
+  let result = read(&value).validate();
+  assert!(result.is_err(), "a route to an unknown service");
 }
 
 #[test]
-fn a_text_that_breaks_off_is_refused_without_a_version() {
-  let text = written("safe").to_string();
+fn truncated_text_is_refused_without_a_version() {
+  let text = configuration_json("safe").to_string();
   let refused = OperatorSource.read(&text[..text.len() / 2]).expect_err("a refusal");
   assert_eq!(refused.version, None);
 }
 
 #[test]
-fn organisations_are_known_by_digests_of_their_keys() {
-  let mut written = written("safe");
+fn organisations_hold_only_digests_of_their_keys() {
+  let mut written = configuration_json("safe");
   written["Tenants"] = json!([
     { "ApiKeys": ["secret-1", "secret-2"], "Burst": 420, "Name": "council", "Priority": 1,
       "RatePerS": 42.5, "AllowedRegions": ["kigali"] },
@@ -114,7 +114,7 @@
   ]);
   written["Routes"][0]["Public"] = json!(true);
   let configuration = read(&written);
-  assert!(!configuration.encode().contains("secret"), "keys stand in no configuration");
+  assert!(!configuration.encode().contains("secret"), "the configuration contains a key");
   let council = &configuration.organisations[&"council".parse().expect("a name")].value;
   assert_eq!(council.keys, BTreeSet::from([key("secret-1"), key("secret-2")]));
   assert_eq!((council.priority, council.regions.len()), (Some(1), 1));
@@ -130,8 +130,8 @@
 }
 
 #[test]
-fn a_service_tells_what_its_cold_backend_servers_take() {
-  let mut written = written("safe");
+fn the_cold_start_limit_of_a_service_is_read() {
+  let mut written = configuration_json("safe");
   written["Services"][0]["Cold"] = json!("3s");
   written["Services"][0]["ColdPerS"] = json!(13.0);
   let configuration = read(&written);
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn the_key_of_an_evacuation_names_its_data_hall() {
+fn an_evacuation_key_names_its_data_hall() {
   let hall = |key: &str| OperatorSource.evacuated_hall(&Key::of(&[key]));
   assert_eq!(hall("op/evacuate/milano").expect("a data hall").as_str(), "milano");
   assert_eq!(hall("op/config"), None);
--- a/tests/store_client.rs
+++ b/tests/store_client.rs
@@ -1,4 +1,5 @@
-//! The client of the platform's store against a store that is slow, falls silent, or answers at length.
+//! Tests the client of the platform's store against a store that is slow, silent or sends large or
+//! malformed answers.
 
 mod support;
 
@@ -12,10 +13,10 @@
   support::answering_store::{Step, head, run, store, whole},
 };
 
-/// Milliseconds that the client grants a store of which it knows nothing.
+/// The client's minimum timeout in milliseconds.
 const FLOOR_MS: u64 = 100;
 
-/// Bytes of the largest value that the store may hold, where a test does not say otherwise.
+/// The maximum size of a value in bytes, unless a test sets another one.
 const VALUE_BYTES_MAX: usize = 1 << 20;
 
 fn item(revision: u64, value_bytes: usize) -> String {
@@ -48,33 +49,33 @@
   StoreRequest::Watch { after: Revision::default(), prefix: key(), wait_ms }
 }
 
-/// Why a call came to nothing, in words.
+/// Returns why a call failed.
 fn reason(result: store::Result<Reply>) -> String {
   match result {
     Err(Error::Unknown { reason }) => reason,
-    other => panic!("an answer was not expected: {other:?}"),
+    other => panic!("expected an unknown outcome: {other:?}"),
   }
 }
 
 #[test]
-fn a_store_slower_than_the_first_limit_is_served_after_a_few_calls() {
+fn calls_to_a_store_slower_than_the_first_timeout_soon_succeed() {
   run(async {
     let address = store(|_| vec![Step::Wait(FLOOR_MS * 5 / 2), whole(&page(10))]);
     let client = client(address);
     let mut tries = 0;
     while client.call(list()).await.is_err() {
       tries += 1;
-      assert!(tries < 4, "a store that answers all calls, only slowly, serves nobody");
+      assert!(tries < 4, "calls to a slow store keep failing");
     }
-    // What the first answer took is known now.
+    // The client has measured the latency of the first answer.
     for _ in 0..3 {
-      client.call(list()).await.expect("the limit follows what answers take");
+      client.call(list()).await.expect("the timeout follows the latency of answers");
     }
   });
 }
 
 #[test]
-fn a_body_that_comes_slowly_but_steadily_is_read_to_its_end() {
+fn a_slow_but_steady_body_is_read_to_its_end() {
   run(async {
     let address = store(|_| {
       let body = page(1_200).into_bytes();
@@ -85,7 +86,7 @@
       );
       steps
     });
-    let reply = client(address).call(list()).await.expect("bytes kept coming");
+    let reply = client(address).call(list()).await.expect("bytes kept arriving");
     let Reply::Entries { entries, .. } = reply else {
       panic!("{reply:?}");
     };
@@ -94,18 +95,18 @@
 }
 
 #[test]
-fn a_body_that_falls_silent_is_given_up_with_the_bytes_that_had_come() {
+fn a_stalled_body_times_out_and_the_error_names_the_received_bytes() {
   run(async {
     let address =
       store(|_| vec![Step::Send(head(1_000)), Step::Send(vec![b' '; 321]), Step::Wait(60_000)]);
     let reason = reason(client(address).call(list()).await);
-    assert!(reason.contains("read"), "the call's kind is missing: {reason}");
-    assert!(reason.contains("321 bytes"), "what had come is missing: {reason}");
+    assert!(reason.contains("read"), "the kind of call is missing: {reason}");
+    assert!(reason.contains("321 bytes"), "the received bytes are missing: {reason}");
   });
 }
 
 #[test]
-fn a_body_that_trickles_without_an_end_is_given_up_at_last() {
+fn an_endlessly_trickling_body_times_out() {
   run(async {
     let address = store(|_| {
       let mut steps = vec![Step::Send(head(1_000_000))];
@@ -119,7 +120,7 @@
 }
 
 #[test]
-fn a_call_without_an_answer_says_which_it_was_and_how_long_it_waited() {
+fn the_error_of_a_call_without_an_answer_names_its_kind_and_wait() {
   run(async {
     let client = client(store(|_| vec![Step::Wait(60_000)]));
     let reading = reason(client.call(list()).await);
@@ -132,7 +133,7 @@
 }
 
 #[test]
-fn a_watch_with_more_versions_than_its_limit_holds_asks_to_read_the_newest() {
+fn a_watch_answer_above_the_size_limit_is_too_large() {
   run(async {
     let body = changes(3, VALUE_BYTES_MAX * 9 / 10);
     let client = client(store(move |_| vec![whole(&body)]));
@@ -142,7 +143,7 @@
 }
 
 #[test]
-fn a_watch_of_unknown_length_is_given_up_where_it_passes_its_limit() {
+fn a_watch_answer_of_unknown_length_is_cut_off_at_the_size_limit() {
   run(async {
     let body = changes(3, VALUE_BYTES_MAX * 9 / 10);
     let size = body.len();
@@ -155,7 +156,7 @@
 }
 
 #[test]
-fn a_value_as_large_as_the_store_may_hold_is_read_and_watched() {
+fn a_value_of_the_maximum_size_can_be_read_and_watched() {
   const LARGE: usize = 6 << 20;
   run(async {
     let (listed, watched) = (page(LARGE), changes(1, LARGE));
@@ -168,7 +169,7 @@
 }
 
 #[test]
-fn a_silent_store_is_noticed_within_the_first_limit_after_fast_answers() {
+fn after_fast_answers_a_silent_store_is_detected_within_the_minimum_timeout() {
   run(async {
     let calls = Rc::new(RefCell::new(0));
     let address = store(move |_| {
@@ -185,7 +186,7 @@
   });
 }
 
-/// Items as another writer may leave them, and one that is whole.
+/// Malformed items, as other writers may leave them, and one valid item.
 fn foreign_items() -> Vec<String> {
   let nested = format!("{}{}", "[".repeat(5_000), "]".repeat(5_000));
   let whole = item(7, 3);
@@ -223,9 +224,9 @@
   (unreadable, texts)
 }
 
-/// Each item speaks for itself, whatever stands beside it.
+/// Each item is parsed on its own, so a malformed item must not make the others unreadable.
 #[test]
-fn an_unreadable_item_hides_no_other_one() {
+fn an_unreadable_item_does_not_hide_others() {
   run(async {
     let items = foreign_items();
     let unreadable = items.len() - 1;
@@ -244,7 +245,7 @@
     let Ok(Reply::Changes { events, revision }) = watched else {
       panic!("{watched:?}");
     };
-    let values = events.into_iter().map(|event| event.entry.expect("nothing is gone").value);
+    let values = events.into_iter().map(|event| event.entry.expect("nothing is deleted").value);
     assert_eq!(
       (revision, texts(values)),
       (Revision::from(9), (unreadable, vec!["vvv".to_string()]))
@@ -252,14 +253,14 @@
   });
 }
 
-/// Bytes that are no text spoil the item that they stand in.
+/// Bytes that aren't valid UTF-8 must make only their own item unreadable.
 #[test]
-fn bytes_that_are_no_text_hide_no_other_item() {
+fn invalid_utf8_does_not_hide_other_items() {
   run(async {
-    let spoiled = b"{\"Key\":\"op/\xff\xfe\",\"Revision\":3,\"Value\":\"\xff\"}".to_vec();
-    let sound = item(7, 3).into_bytes();
+    let malformed = b"{\"Key\":\"op/\xff\xfe\",\"Revision\":3,\"Value\":\"\xff\"}".to_vec();
+    let valid = item(7, 3).into_bytes();
     let body =
-      [b"{\"HasMore\":false,\"CurrentRev\":9,\"items\":[", &spoiled[..], b",", &sound[..], b"]}"]
+      [b"{\"HasMore\":false,\"CurrentRev\":9,\"items\":[", &malformed[..], b",", &valid[..], b"]}"]
         .concat();
     let address = store(move |_| vec![Step::Send([head(body.len()), body.clone()].concat())]);
     let listed = client(address).call(list()).await;
@@ -270,11 +271,12 @@
   });
 }
 
-/// A watch whose answer names no revision goes on from what it showed: never behind what it did not show.
+/// Without a revision in the answer, the next watch must continue from the latest revision that the
+/// answer shows. A later one would miss changes.
 #[test]
-fn a_watch_passes_its_revision_also_where_the_answer_names_none() {
+fn a_watch_continues_from_the_latest_item_if_the_answer_lacks_a_revision() {
   run(async {
-    for (body, passed) in [
+    for (body, expected) in [
       (format!("{{\"events\":[{}],\"CurrentRev\":\"nine\"}}", item(7, 3)), 7),
       (format!("{{\"events\":[{}]}}", item(7, 3)), 7),
       ("{\"events\":[]}".to_string(), 4),
@@ -285,14 +287,14 @@
       let Ok(Reply::Changes { revision, .. }) = watched else {
         panic!("{watched:?}");
       };
-      assert_eq!(revision, Revision::from(passed));
+      assert_eq!(revision, Revision::from(expected));
     }
   });
 }
 
-/// The next page begins behind a key that may hold any character.
+/// The key after which the next page starts may hold any character, so it must be percent-encoded.
 #[test]
-fn pages_go_on_behind_keys_of_other_writers() {
+fn pages_continue_after_keys_with_special_characters() {
   run(async {
     let address = store(|path| {
       let (key, more) = match path.split_once("&after=") {
--- a/tests/store_fuzz.rs
+++ b/tests/store_fuzz.rs
@@ -1,7 +1,7 @@
-//! Answers of the store with items of other writers: whole ones beside ones that are spoiled in any field.
+//! Fuzz test of the store's client with answers that mix valid and malformed items.
 //!
-//! Whatever stands beside it, each whole item is read as it was written; nothing that is spoiled is read; and the
-//! client neither ends nor gives the answer up.
+//! The client must read each valid item as written, report each malformed one as unreadable, and
+//! neither panic nor reject the answer.
 
 mod support;
 
@@ -17,10 +17,10 @@
   support::answering_store::{run, store, whole},
 };
 
-/// Answers that are tried.
+/// The number of random answers.
 const HISTORIES: u64 = 1_000;
 
-/// An item as the store writes it, and what must be read of it where it is whole.
+/// An item of the store's answer, and the key and value that must be read from it if it is valid.
 type Written = (serde_json::Value, Option<(String, String)>);
 
 fn text(u: &mut Unstructured) -> Result<String> {
@@ -28,7 +28,7 @@
   (0..length).map(|_| u.arbitrary::<char>()).collect()
 }
 
-fn whole_item(u: &mut Unstructured) -> Result<Written> {
+fn valid_item(u: &mut Unstructured) -> Result<Written> {
   let (key, value) = (text(u)?, text(u)?);
   let revision: u32 = u.arbitrary()?;
   let item = json!({
@@ -38,7 +38,7 @@
   Ok((item, Some((key, value))))
 }
 
-/// JSON that is neither text nor a whole number that is not negative.
+/// JSON that is neither a string nor a non-negative integer.
 fn other_type(u: &mut Unstructured) -> Result<serde_json::Value> {
   let nested = (0..*u.choose(&[1, 100, 126])?).fold(json!(null), |inner, _| json!([inner]));
   Ok(
@@ -47,9 +47,9 @@
   )
 }
 
-/// A whole item with one of the fields spoiled that an entry is made of.
-fn spoiled_item(u: &mut Unstructured) -> Result<Written> {
-  let (mut item, _) = whole_item(u)?;
+/// An item in which one required field is missing or malformed.
+fn malformed_item(u: &mut Unstructured) -> Result<Written> {
+  let (mut item, _) = valid_item(u)?;
   let name = *u.choose(&["Key", "Revision", "Value"])?;
   let fields = item.as_object_mut().expect("an object");
   match u.int_in_range(0..=3)? {
@@ -69,34 +69,34 @@
   Ok((item, None))
 }
 
-/// Something in the place of an item that is no object.
-fn no_item(u: &mut Unstructured) -> Result<Written> {
+/// JSON in place of an item that isn't an object.
+fn non_object(u: &mut Unstructured) -> Result<Written> {
   Ok((other_type(u)?, None))
 }
 
 fn items(u: &mut Unstructured) -> Result<Vec<Written>> {
   let count = u.int_in_range(0..=8)?;
   let one = |u: &mut Unstructured| match u.int_in_range(0..=5)? {
-    0..=2 => whole_item(u),
-    3 | 4 => spoiled_item(u),
-    _ => no_item(u),
+    0..=2 => valid_item(u),
+    3 | 4 => malformed_item(u),
+    _ => non_object(u),
   };
   (0..count).map(|_| one(u)).collect()
 }
 
 fn check(read: &[(Key, Value)], written: &[Written]) {
-  let whole: Vec<(String, String)> =
-    written.iter().filter_map(|(_, whole)| whole.clone()).collect();
-  let read_whole: Vec<(String, String)> = read
+  let valid: Vec<(String, String)> =
+    written.iter().filter_map(|(_, valid)| valid.clone()).collect();
+  let read_valid: Vec<(String, String)> = read
     .iter()
     .filter_map(|(key, value)| Some((key.to_string(), value.text().ok()?.to_string())))
     .collect();
-  assert_eq!(read_whole, whole, "{written:?}");
-  assert_eq!(read.len(), written.len(), "each item is told of");
+  assert_eq!(read_valid, valid, "{written:?}");
+  assert_eq!(read.len(), written.len(), "each item is reported");
 }
 
 #[test]
-fn whole_items_are_read_and_spoiled_ones_are_not() {
+fn valid_items_are_read_and_malformed_ones_are_not() {
   run(async {
     let body = Rc::new(RefCell::new(String::new()));
     let answered = body.clone();
@@ -122,7 +122,7 @@
       let Ok(Reply::Changes { events, revision: Revision { count: 9, .. } }) = watched else {
         panic!("{watched:?}: {answer}");
       };
-      let changed = events.into_iter().map(|one| (one.key, one.entry.expect("not gone").value));
+      let changed = events.into_iter().map(|one| (one.key, one.entry.expect("not deleted").value));
       check(&changed.collect::<Vec<_>>(), &written);
     }
   });
--- a/tests/support/answering_store.rs
+++ b/tests/support/answering_store.rs
@@ -1,4 +1,4 @@
-//! A store that answers by HTTP whatever a test says.
+//! A fake HTTP store whose answers are scripted by the test.
 
 use {
   ferryyoke::commands::block_on,
@@ -9,16 +9,16 @@
   std::{future::Future, net::SocketAddr, rc::Rc, time::Duration},
 };
 
-/// What the store does to answer one request.
+/// One step of the store's answer to a request.
 #[derive(Clone)]
 pub enum Step {
   /// Sends these bytes.
   Send(Vec<u8>),
-  /// Leaves the connection open without a byte for this many milliseconds.
+  /// Sends nothing for this many milliseconds.
   Wait(u64),
 }
 
-/// Runs a test to its end.
+/// Runs a test, which fails after 20 seconds.
 pub fn run(test: impl Future<Output = ()>) {
   block_on(async {
     let limit = Duration::from_secs(20);
@@ -27,7 +27,7 @@
   .expect("an event loop");
 }
 
-/// A store that answers every request by the steps that `answer` gives for its path.
+/// Starts a store that answers each request with the steps that `answer` returns for its path.
 pub fn store(answer: impl Fn(&str) -> Vec<Step> + 'static) -> SocketAddr {
   let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
   let address = listener.local_addr().expect("bound");
@@ -65,12 +65,12 @@
   }
 }
 
-/// The head of an answer whose body has so many bytes.
+/// Returns the head of an answer whose body has `length` bytes.
 pub fn head(length: usize) -> Vec<u8> {
   format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n").into_bytes()
 }
 
-/// An answer that comes at once.
+/// Returns a step that sends a complete answer.
 pub fn whole(body: &str) -> Step {
   Step::Send([head(body.len()), body.as_bytes().to_vec()].concat())
 }
--- a/tests/support/command.rs
+++ b/tests/support/command.rs
@@ -1,4 +1,4 @@
-//! Runs the `ferryyoke` binary and checks what it prints.
+//! Runs the `ferryyoke` binary and checks its output.
 
 use std::{
   fs,
@@ -6,7 +6,7 @@
   process::{Command, Output},
 };
 
-/// Settings that `check` takes, as JSON.
+/// Returns valid settings as JSON.
 pub fn good_settings() -> serde_json::Value {
   serde_json::json!({
     "addresses": {
@@ -26,7 +26,7 @@
   })
 }
 
-/// One run of the binary.
+/// A run of the binary, with its expected status and output.
 pub struct Test {
   arguments: Vec<String>,
   directory: tempfile::TempDir,
@@ -51,14 +51,14 @@
     self
   }
 
-  /// Checks a settings file with this text.
+  /// Runs `check` on a settings file with this text.
   pub fn check(self, text: &str) -> Self {
     let path = self.path("settings.json");
     fs::write(&path, text).expect("a file");
     self.arguments(&["check", "--settings", &path.display().to_string()])
   }
 
-  /// Checks good settings in which the value at `pointer` is another one.
+  /// Runs `check` on valid settings in which `value` replaces the value at `pointer`.
   pub fn check_with(self, pointer: &str, value: serde_json::Value) -> Self {
     let mut settings = good_settings();
     let (parent, key) = pointer.rsplit_once('/').expect("a pointer");
--- a/tests/support/endpoints.rs
+++ b/tests/support/endpoints.rs
@@ -1,11 +1,11 @@
-//! Backend servers for tests of decisions.
+//! Endpoints for unit tests.
 
 use ferryyoke::{
   fleet::{Endpoint, EndpointState, Peer},
   values::Incarnation,
 };
 
-/// A backend server of the service `service` that takes work.
+/// Returns a live endpoint of the service `service`.
 pub fn endpoint(name: &str, data_hall: &str, slots: u32) -> Endpoint {
   let address = ([127, 0, 0, 1], 1).into();
   Endpoint {
--- a/tests/support/lines.rs
+++ b/tests/support/lines.rs
@@ -1,4 +1,4 @@
-//! What boxes' own links carry, and how long a message or an answer of the store takes on them.
+//! Simulates the bandwidth of the boxes' network links, and the sizes of what they carry.
 
 use {
   ferryyoke::{
@@ -9,41 +9,41 @@
   std::collections::BTreeMap,
 };
 
-/// A direction of a box's own link.
+/// A direction of a box's link.
 #[derive(Clone, Copy, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Direction {
   Inward,
   Outward,
 }
 
-/// The boxes' own links. Whatever goes one way on one of them goes one after the other, in order of
-/// sending.
+/// The network links of the boxes. Each direction of a link transmits messages one after the other,
+/// in the order of sending.
 #[derive(Default)]
 pub struct Lines {
-  /// What a link carries each way, in Mbit/s, where the box has no figure of its own; 0: no bound.
+  /// The default bandwidth of a link in each direction, in Mbit/s; 0 for unlimited.
   pub common_mbps: u32,
-  /// When each direction will have carried all that was put on it.
+  /// The time in microseconds when each direction has transmitted everything sent so far.
   free_at_us: BTreeMap<(BoxId, Direction), u64>,
   own_mbps: BTreeMap<BoxId, u32>,
 }
 
 impl Lines {
-  /// Sets what one box's link carries each way.
+  /// Sets the bandwidth of one box's link in each direction, in Mbit/s.
   pub fn set(&mut self, box_id: BoxId, mbps: u32) {
     self.own_mbps.insert(box_id, mbps);
   }
 
-  /// What a box's link carries each way; 0: no bound.
+  /// Returns the bandwidth of a box's link in each direction, in Mbit/s; 0 for unlimited.
   pub fn mbps(&self, box_id: &BoxId) -> u32 {
     self.own_mbps.get(box_id).copied().unwrap_or(self.common_mbps)
   }
 
-  /// Whether anything bounds what a box's link carries.
+  /// Returns whether the bandwidth of a box's link is limited.
   pub fn is_bound(&self, box_id: &BoxId) -> bool {
     self.mbps(box_id) != 0
   }
 
-  /// Puts bytes on a link, and returns when the last of them is through.
+  /// Sends bytes over a link. Returns the time in microseconds when the last of them arrives.
   pub fn carry(&mut self, box_id: &BoxId, way: Direction, at_us: u64, bytes: usize) -> u64 {
     let mbps = u64::from(self.mbps(box_id));
     if mbps == 0 {
@@ -54,20 +54,20 @@
     *free_at_us
   }
 
-  /// A box ended: what it had not sent is lost, and nothing is on its way to it any more.
+  /// Drops everything in transit on the link of a box that ended.
   pub fn clear(&mut self, box_id: &BoxId) {
     self.free_at_us.retain(|(owner, _), _| owner != box_id);
   }
 }
 
-/// Bytes of a message between boxes.
+/// Returns the size in bytes of a message between boxes.
 pub fn message_bytes(message: &Message) -> usize {
   let mut bytes = Vec::new();
   ciborium::into_writer(message, &mut bytes).expect("writing to memory does not fail");
   bytes.len()
 }
 
-/// Bytes of a call to the store. Values cross as base64.
+/// Returns the size in bytes of a call to the store. Values are sent as base64.
 pub fn request_bytes(request: &StoreRequest) -> usize {
   match request {
     StoreRequest::CompareAndSwap { value, .. }
@@ -77,7 +77,7 @@
   }
 }
 
-/// Bytes of an answer of the store.
+/// Returns the size in bytes of an answer of the store.
 pub fn answer_bytes(result: &store::Result<Reply>) -> usize {
   match result {
     Ok(Reply::Changes { events, .. }) => {
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! What the fuzz tests share: a small world of pure state machines, and the oracle beside it.
+//! Shared test support, including a simulated world of state machines and the oracle that checks
+//! it.
 
 #![allow(dead_code)]
 
@@ -16,10 +17,10 @@
 
 use arbtest::{arbitrary::Unstructured, arbtest};
 
-/// Bytes of randomness of one history.
+/// The number of random bytes per history.
 const HISTORY_BYTES: u64 = 4_096;
 
-/// Runs `property` on `count` histories, the same ones every time.
+/// Runs `property` on `count` random histories with fixed seeds.
 pub fn histories(
   count: u64,
   mut property: impl FnMut(&mut Unstructured) -> arbtest::arbitrary::Result<()>,
--- a/tests/support/operator_routes.rs
+++ b/tests/support/operator_routes.rs
@@ -1,11 +1,11 @@
-//! Large configurations as the operators of the platform write them.
+//! Large configurations in the format of the platform's operators.
 
 use {
   ferryyoke::values::Digest,
   serde_json::{Value, json},
 };
 
-/// What the operators write for a version with so many routes, whose names do not compress.
+/// Returns a configuration with `count` routes, whose names don't compress.
 pub fn written(version: u64, count: usize) -> String {
   let services = json!([{ "HealthPath": "/health", "MaxConnections": 110, "Name": "archive" }]);
   let limits = json!({
--- a/tests/support/plain_source.rs
+++ b/tests/support/plain_source.rs
@@ -1,4 +1,4 @@
-//! Configurations in the product's own form, as the operators of a fleet in virtual time write them.
+//! Configurations in the mesh's own format, for fleets in virtual time.
 
 use ferryyoke::{
   configuration::{Configuration, Patch, Policy, Revised, Service, Source, Unreadable},
@@ -7,7 +7,7 @@
   values::{DataHall, Digest, PolicyName, ServiceName, Team, Version},
 };
 
-/// Reads the product's own form of a configuration.
+/// Reads configurations in the mesh's own format.
 #[derive(Debug)]
 pub struct PlainSource;
 
@@ -33,7 +33,7 @@
   }
 
   fn read(&self, value: &str) -> Result<Configuration, Unreadable> {
-    // `unreadable 7` stands for a version 7 of which nothing else can be read.
+    // `unreadable 7` represents a configuration of version 7 that is otherwise unreadable.
     if let Some(version) = value.strip_prefix("unreadable ") {
       let version = version.parse().ok();
       return Err(Unreadable { reason: "an unknown kind of route".into(), version });
@@ -42,7 +42,7 @@
   }
 }
 
-/// What the operators write for a version with so many services.
+/// Returns a configuration with `count` services.
 pub fn written(version: u64, count: usize) -> String {
   let mut configuration = Configuration { version: Version(version), ..Configuration::default() };
   let owner: Team = "team".parse().expect("a name");
@@ -58,7 +58,7 @@
       owner: owner.clone(),
       policy: name.clone(),
     };
-    // A name that does not compress, so that many services are large on a link.
+    // The name doesn't compress, so that many services need many bytes on a link.
     let name = Digest::of(format!("service-{index}").as_bytes()).to_string();
     let name = name[..40].parse().expect("a name");
     configuration.services.insert(name, Revised { revision, value });
--- a/tests/support/read_once.rs
+++ b/tests/support/read_once.rs
@@ -1,4 +1,4 @@
-//! A source that reads each text once for all boxes of a fleet, so that large ones take little time.
+//! A configuration source with a cache, so that the boxes of a fleet parse a large text only once.
 
 use {
   ferryyoke::{
@@ -8,7 +8,7 @@
   std::{collections::BTreeMap, sync::Mutex},
 };
 
-/// Reads as another source does, and remembers what it read.
+/// Caches the results of another source.
 #[derive(Debug)]
 pub struct ReadOnce<S> {
   read: Mutex<BTreeMap<String, Result<Configuration, Unreadable>>>,
