--- a/crates/ferryyoke-bench/src/lib.rs
+++ b/crates/ferryyoke-bench/src/lib.rs
@@ -11,7 +11,7 @@
     administration::{Answer, AnswerOutcome, StatementRequest},
     commands::{block_on, query},
     proxy::headers,
-    standin::{BackendFaults, Journal, StoreFaults, StoreServer},
+    fake::{BackendFaults, Journal, StoreFaults, StoreServer},
     unix_ms,
     values::{Digest, Version},
     web,
--- a/crates/ferryyoke-bench/tests/failures.rs
+++ b/crates/ferryyoke-bench/tests/failures.rs
@@ -5,7 +5,7 @@
 use {
   ferryyoke::{
     administration::AnswerOutcome,
-    standin::{BackendFaults, StoreFaults},
+    fake::{BackendFaults, StoreFaults},
     values::Version,
   },
   ferryyoke_bench::Generator,
--- a/crates/ferryyoke-bench/tests/operators.rs
+++ b/crates/ferryyoke-bench/tests/operators.rs
@@ -6,7 +6,7 @@
   ferryyoke::{
     administration::{Answer, AnswerOutcome, StatementRequest},
     commands::query,
-    standin::StoreFaults,
+    fake::StoreFaults,
   },
   ferryyoke_bench::{Error, Fleet, Result},
   std::collections::BTreeMap,
--- a/crates/ferryyoke-bench/tests/requests.rs
+++ b/crates/ferryyoke-bench/tests/requests.rs
@@ -5,7 +5,7 @@
 use {
   ferryyoke::{
     proxy::headers,
-    standin::{BackendFaults, StoreFaults},
+    fake::{BackendFaults, StoreFaults},
     web,
   },
   ferryyoke_bench::{Error, Fleet, Result},
--- a/crates/ferryyoke-soak/src/lib.rs
+++ b/crates/ferryyoke-soak/src/lib.rs
@@ -7,7 +7,7 @@
   bytes::Bytes,
   clap::{Arg, ArgMatches, Command},
   ferryyoke::{
-    standin::Keyspace,
+    fake::Keyspace,
     store::{Entry, Event, Key, LeaseId, Refusal, Reply, Revision, StoreRequest},
     unix_ms,
     values::{Digest, DurationMs, Time},
--- a/crates/ferryyoke-soak/src/platform/store.rs
+++ b/crates/ferryyoke-soak/src/platform/store.rs
@@ -65,7 +65,7 @@
 
   /// Forgets what watches could go on from.
   pub fn forget(&self) {
-    self.state.borrow_mut().keyspace.forget_history();
+    self.state.borrow_mut().keyspace.compact();
   }
 
   /// Keeps a copy of all that it holds.
@@ -105,7 +105,7 @@
 
   /// Ends all leases.
   pub fn lapse(&self) {
-    self.state.borrow_mut().keyspace.lapse_leases();
+    self.state.borrow_mut().keyspace.expire_all_leases();
   }
 
   /// The operators put a configuration in.
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -8,7 +8,7 @@
   dev,
   node::SystemClock,
   settings::Settings,
-  standin,
+  fake,
   telemetry::{Log, Outlet},
 };
 
--- a/src/commands/standins.rs
+++ b/src/commands/standins.rs
@@ -18,7 +18,7 @@
   let servers = matches.get_many::<arguments::NamedAddress>("server").unwrap_or_default();
   for (name, address) in servers {
     let listener = bind(*address)?;
-    standin::BackendServer::start(listener, name).map_err(|err| cannot_listen(*address, err))?;
+    fake::BackendServer::start(listener, name).map_err(|err| cannot_listen(*address, err))?;
   }
   Ok(())
 }
@@ -26,7 +26,7 @@
 fn start_store(matches: &ArgMatches) -> Result {
   let address = *matches.get_one::<SocketAddr>("listen").expect("the parser demands it");
   let listener = bind(address)?;
-  standin::StoreServer::start(listener).map_err(|err| cannot_listen(address, err))?;
+  fake::StoreServer::start(listener).map_err(|err| cannot_listen(address, err))?;
   Ok(())
 }
 
--- a/src/daemon/daemon.rs
+++ b/src/daemon/daemon.rs
@@ -32,7 +32,7 @@
     let (address, timeout_ms) = (settings.store_address, settings.store_timeout_ms);
     let (store, dialect): (Rc<dyn Store>, Dialect) = if settings.deployment.is_some() {
       let client = platform::StoreClient::new(address, timeout_ms, settings.store_value_bytes_max);
-      (Rc::new(client), platform::dialect())
+      (Rc::new(client), platform::header_names())
     } else {
       (Rc::new(HttpStore::new(address, timeout_ms)), Dialect::default())
     };
--- a/src/dev/mod.rs
+++ b/src/dev/mod.rs
@@ -10,7 +10,7 @@
   node::SystemClock,
   proxy::headers,
   settings::Settings,
-  standin::{BackendServer, StoreServer},
+  fake::{BackendServer, StoreServer},
   telemetry::{Log, LogFormat, LogLevel},
   web::{AnyBody, Listener},
 };
--- a/src/standin/keyspace.rs
+++ b/src/fake/keyspace.rs
@@ -75,18 +75,18 @@
   }
 
   /// Writes a value for another writer, possibly an unreadable one.
-  pub fn write_foreign(&mut self, key: &Key, value: Value) {
+  pub fn write_value(&mut self, key: &Key, value: Value) {
     self.store(key, None, value);
   }
 
   /// Removes all changes from the history, so that watches from earlier revisions are refused.
-  pub fn forget_history(&mut self) {
+  pub fn compact(&mut self) {
     self.events.clear();
     self.compacted = self.revision;
   }
 
   /// Ends all leases before they expire.
-  pub fn lapse_leases(&mut self) {
+  pub fn expire_all_leases(&mut self) {
     let leases: Vec<LeaseId> = self.leases.keys().copied().collect();
     for lease in leases {
       self.end_lease(lease);
--- a/src/standin/store_server.rs
+++ b/src/fake/store_server.rs
@@ -56,7 +56,7 @@
 
   fn set_faults(&mut self, mut faults: StoreFaults) {
     if std::mem::take(&mut faults.lapse_leases) {
-      self.keyspace.lapse_leases();
+      self.keyspace.expire_all_leases();
     }
     self.faults = faults;
     self.wake();
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -58,7 +58,7 @@
 pub mod requests;
 pub mod rollout;
 pub mod settings;
-pub mod standin;
+pub mod fake;
 pub mod store;
 pub mod telemetry;
 pub mod timer;
--- a/src/platform/dialect.rs
+++ b/src/platform/header_names.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 /// Returns the header names that the platform's callers and backend servers use.
-pub fn dialect() -> Dialect {
+pub fn header_names() -> Dialect {
   let name = HeaderName::from_static;
   Dialect {
     caller_service: Some(name("x-caller-service")),
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -14,8 +14,8 @@
   node::{Dialect, Node},
   rollout::{self, Order, Record, Stage},
   store::{
-    self, CallKind, Entry, Era, Event, Key, LeaseId, LocalFuture, Refusal, Reply, Revision, Store,
-    StoreRequest, Value, Waiting,
+    self, AnswerWaiter, CallKind, Entry, Era, Event, Key, LeaseId, LocalFuture, Refusal, Reply,
+    Revision, Store, StoreRequest, Value,
   },
   web::{self, AnyBody, Incoming},
 };
@@ -24,14 +24,14 @@
 
 pub use self::{
   control::{serve_control, serve_readiness},
-  dialect::dialect,
+  header_names::header_names,
   operator_source::OperatorSource,
   store_client::StoreClient,
 };
 
 mod control;
-mod dialect;
 mod fields;
+mod header_names;
 mod item;
 mod operator_source;
 mod rollout_status;
--- a/src/platform/rollout_status.rs
+++ b/src/platform/rollout_status.rs
@@ -12,7 +12,7 @@
 
 /// Returns the operators' status to write in the same transaction as a rollout record, or `None`
 /// for any other item.
-pub(super) fn status_beside(key: &Key, value: &str) -> Option<Write> {
+pub(super) fn operator_status(key: &Key, value: &str) -> Option<Write> {
   let service = rollout::keys::service_of(key)?;
   let record: Record = serde_json::from_str(value).ok()?;
   let state = match record.stage {
--- a/src/platform/store_bodies.rs
+++ b/src/platform/store_bodies.rs
@@ -61,7 +61,7 @@
 /// A request for a lease.
 #[derive(Serialize)]
 #[serde(rename_all = "PascalCase")]
-pub(super) struct LeaseCall {
+pub(super) struct LeaseRequest {
   pub(super) ttl: String,
 }
 
--- a/src/platform/store_client.rs
+++ b/src/platform/store_client.rs
@@ -3,7 +3,7 @@
 use std::iter;
 
 use super::store_bodies::{
-  Changes, Expected, LeaseCall, LeaseReply, Page, Transaction, TransactionReply, Write,
+  Changes, Expected, LeaseReply, LeaseRequest, Page, Transaction, TransactionReply, Write,
 };
 
 /// A client of the platform's store.
@@ -17,7 +17,7 @@
   era: Cell<Option<Era>>,
   pool: Rc<web::Pool>,
   value_bytes_max: usize,
-  waiting: Rc<Waiting>,
+  waiter: Rc<AnswerWaiter>,
 }
 
 impl StoreClient {
@@ -25,9 +25,9 @@
   /// bytes. The client waits at least `timeout_ms` milliseconds until an answer begins, and longer
   /// if recent answers were slower.
   pub fn new(address: SocketAddr, timeout_ms: u64, value_bytes_max: usize) -> Self {
-    let waiting = Waiting::new(timeout_ms);
-    let pool = Rc::new(web::Pool::new(waiting.cap_ms()));
-    Self { inner: Rc::new(Inner { address, era: Cell::default(), pool, value_bytes_max, waiting }) }
+    let waiter = AnswerWaiter::new(timeout_ms);
+    let pool = Rc::new(web::Pool::new(waiter.max_ms()));
+    Self { inner: Rc::new(Inner { address, era: Cell::default(), pool, value_bytes_max, waiter }) }
   }
 }
 
@@ -36,7 +36,7 @@
     let inner = self.inner.clone();
     Box::pin(async move {
       let reply = inner.call(request).await?;
-      Ok(reply.of_era(inner.era()))
+      Ok(reply.with_era(inner.era()))
     })
   }
 
@@ -79,7 +79,7 @@
         self.transact(None, Vec::new(), vec![key.to_string()]).await.map(|_| Reply::Done)
       }
       StoreRequest::GrantLease { ttl_ms } => {
-        let call = LeaseCall { ttl: DurationMs(ttl_ms).to_string() };
+        let call = LeaseRequest { ttl: DurationMs(ttl_ms).to_string() };
         let (_, body) = self
           .exchange(CallKind::Lease, Method::POST, "/ferryyoke/kv-lease", Some(&call), 0)
           .await?;
@@ -202,7 +202,7 @@
     let (started, received, era_at_start) = (timer::now(), Cell::new(0), self.era.get());
     let exchanged = self.send(kind, request, wait_ms, &received).await;
     let (head, body) = exchanged
-      .map_err(|err| kind.failure(err, timer::now().saturating_sub(started), received.get()))?;
+      .map_err(|err| kind.error_from(err, timer::now().saturating_sub(started), received.get()))?;
     self.update_era(&head.headers, era_at_start)?;
     let status = head.status;
     match status.as_u16() {
@@ -259,9 +259,9 @@
       let client = pool.checkout(address).await?;
       pool.send(client, request, None).await
     };
-    let answer = self.waiting.until_begun(kind, wait_ms, answer).await?;
+    let answer = self.waiter.await_head(kind, wait_ms, answer).await?;
     let (head, body) = answer.into_parts();
-    let limits = self.waiting.body_limits(self.answer_bytes_max(kind));
+    let limits = self.waiter.body_limits(self.answer_bytes_max(kind));
     Ok((head, web::collect_while_moving(body, limits, received).await?))
   }
 
@@ -280,7 +280,7 @@
 /// Returns the writes of a transaction for one item: the item, and the operators' status if it is a
 /// rollout record.
 fn writes(key: &Key, lease: Option<LeaseId>, value: &str) -> Vec<Write> {
-  let status = rollout_status::status_beside(key, value);
+  let status = rollout_status::operator_status(key, value);
   iter::once(Write::new(key, lease, value)).chain(status).collect()
 }
 
--- a/src/store/call_kind.rs
+++ b/src/store/call_kind.rs
@@ -17,7 +17,7 @@
   /// Returns the error of a call that failed after it `waited`, with `bytes` of the answer's body
   /// received. The error names all of them, because a refused connection, a silent store and a slow
   /// link look the same to the code that made the call.
-  pub fn failure(self, err: web::Error, waited: Duration, bytes: usize) -> Error {
+  pub fn error_from(self, err: web::Error, waited: Duration, bytes: usize) -> Error {
     let failure = match err {
       // A read changes nothing, so its failure leaves no doubt about the state of the store.
       web::Error::TooLarge { bytes_max } if matches!(self, Self::Read | Self::Watch) => {
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -5,11 +5,14 @@
 use super::*;
 
 pub use self::{
-  call_kind::CallKind, entry::Entry, era::Era, error::Error, event::Event, http_store::HttpStore,
-  key::Key, lease_id::LeaseId, patience::Patience, refusal::Refusal, reply::Reply,
-  revision::Revision, store_request::StoreRequest, value::Value, waiting::Waiting,
+  adaptive_timeout::AdaptiveTimeout, answer_waiter::AnswerWaiter, call_kind::CallKind,
+  entry::Entry, era::Era, error::Error, event::Event, http_store::HttpStore, key::Key,
+  lease_id::LeaseId, refusal::Refusal, reply::Reply, revision::Revision,
+  store_request::StoreRequest, value::Value,
 };
 
+mod adaptive_timeout;
+mod answer_waiter;
 mod call_kind;
 mod entry;
 mod era;
@@ -18,13 +21,11 @@
 mod http_store;
 mod key;
 mod lease_id;
-mod patience;
 mod refusal;
 mod reply;
 mod revision;
 mod store_request;
 mod value;
-mod waiting;
 
 /// The result of one call to the store.
 pub type Result<T = (), E = Error> = std::result::Result<T, E>;
--- a/src/store/reply.rs
+++ b/src/store/reply.rs
@@ -42,7 +42,7 @@
 impl Reply {
   /// Sets the era of all revisions in the reply.
   #[must_use]
-  pub fn of_era(mut self, era: Era) -> Self {
+  pub fn with_era(mut self, era: Era) -> Self {
     match &mut self {
       Self::Changes { events, revision } => {
         revision.era = era;
--- a/tests/claims_fuzz.rs
+++ b/tests/claims_fuzz.rs
@@ -7,7 +7,7 @@
   arbtest::arbitrary::{Result, Unstructured},
   ferryyoke::{
     requests::{Claim, ClaimOutcome, ClaimState, ClaimStep, ClaimTicket},
-    standin::Keyspace,
+    fake::Keyspace,
     store::{self, Refusal, Reply, Revision, StoreRequest},
     values::{Digest, Time},
   },
--- a/tests/distribution_fuzz.rs
+++ b/tests/distribution_fuzz.rs
@@ -72,7 +72,7 @@
     9 => world.faults.store_down = false,
     10 => world.faults.lost_answers = u.int_in_range(0..=60)?,
     11 => world.faults.store_slow_ms = u.int_in_range(0..=1_500)?,
-    12 => world.keyspace.lapse_leases(),
+    12 => world.keyspace.expire_all_leases(),
     13 => {
       world.faults.silent_watches = u.arbitrary()?;
       world.faults.skipping_watches = u.arbitrary()?;
--- a/tests/narrow_links.rs
+++ b/tests/narrow_links.rs
@@ -3,7 +3,7 @@
 //! Protects the time in which each box holds a version: a read of the whole fills a link of 10 Mbit/s for a
 //! second, and whatever else comes to that box waits behind it. So few boxes may read, what goes from box to
 //! box must be small, and nobody may take a neighbour for dead whose word waits behind a large one. Times
-//! are virtual; links are first come first served, see `support::lines`.
+//! are virtual; links are first come first served, see `support::box_links`.
 
 mod support;
 
@@ -13,7 +13,7 @@
     collections::{BTreeMap, BTreeSet},
     sync::Arc,
   },
-  support::{followers::Followers, operator_routes, read_once::ReadOnce},
+  support::{followers::Followers, operator_routes, cached_source::CachedSource},
 };
 
 /// Fourteen in each of three data halls.
@@ -38,12 +38,12 @@
 /// 200 Mbit/s, and the others of 10.
 fn fleet(wide: usize) -> Followers {
   let mut fleet = Followers::new();
-  fleet.source = Arc::new(ReadOnce::new(OperatorSource));
+  fleet.source = Arc::new(CachedSource::new(OperatorSource));
   fleet.lines.common_mbps = 10;
   for index in 0..wide {
     fleet.lines.set(Followers::box_id(index), 200);
   }
-  fleet.write_text(operator_routes::written(1, FEW));
+  fleet.write_text(operator_routes::configuration_text(1, FEW));
   for index in 0..BOXES {
     fleet.start(index, 1_000);
   }
@@ -99,7 +99,7 @@
 #[test]
 fn a_large_change_is_in_force_within_a_third_of_a_second() {
   let mut fleet = fleet(WIDE);
-  fleet.write_text(operator_routes::written(2, MANY));
+  fleet.write_text(operator_routes::configuration_text(2, MANY));
   let written_at = fleet.now;
   assert_in_time(&mut fleet, &all(), 2, written_at, PACKED_MS);
 }
@@ -109,7 +109,7 @@
 #[test]
 fn a_large_change_soon_after_the_start_is_read_by_the_watchers_only() {
   let mut fleet = fleet(WIDE);
-  fleet.write_text(operator_routes::written(2, MANY));
+  fleet.write_text(operator_routes::configuration_text(2, MANY));
   fleet.run(LATE_MS);
   let read = fleet.watched_configurations;
   assert!(read <= WIDE, "{read} whole configurations for {WIDE} watchers");
@@ -118,7 +118,7 @@
 #[test]
 fn a_large_change_is_in_force_in_time_where_all_links_are_narrow() {
   let mut fleet = fleet(0);
-  fleet.write_text(operator_routes::written(2, MANY));
+  fleet.write_text(operator_routes::configuration_text(2, MANY));
   let written_at = fleet.now;
   assert_in_time(&mut fleet, &all(), 2, written_at, LATE_MS);
 }
@@ -126,9 +126,9 @@
 #[test]
 fn the_second_of_two_large_changes_in_quick_succession_is_in_force_in_time() {
   let mut fleet = fleet(WIDE);
-  fleet.write_text(operator_routes::written(2, MANY));
+  fleet.write_text(operator_routes::configuration_text(2, MANY));
   fleet.run(300);
-  fleet.write_text(operator_routes::written(3, FEW));
+  fleet.write_text(operator_routes::configuration_text(3, FEW));
   let written_at = fleet.now;
   assert_in_time(&mut fleet, &all(), 3, written_at, LATE_MS);
 }
@@ -137,7 +137,7 @@
 fn a_large_change_is_in_force_in_time_where_a_watcher_dies_while_it_sends_it() {
   const WATCHER: usize = 0;
   let mut fleet = fleet(WIDE);
-  fleet.write_text(operator_routes::written(2, MANY));
+  fleet.write_text(operator_routes::configuration_text(2, MANY));
   let written_at = fleet.now;
   let others: BTreeSet<usize> = all().into_iter().filter(|index| *index != WATCHER).collect();
   arrivals(&mut fleet, &BTreeSet::from([WATCHER]), 2);
@@ -153,7 +153,7 @@
 fn boxes_that_start_amid_a_large_change_hold_it_in_time_and_delay_nobody() {
   const NEW: usize = 10;
   let mut fleet = fleet(WIDE);
-  fleet.write_text(operator_routes::written(2, MANY));
+  fleet.write_text(operator_routes::configuration_text(2, MANY));
   let written_at = fleet.now;
   fleet.run(50);
   let started_at = fleet.now;
@@ -172,7 +172,7 @@
   let turned_away = (0..BOXES).filter(|index| index / 3 % 3 == 0);
   fleet.unserved.extend(turned_away.map(Followers::box_id));
   fleet.run(50);
-  fleet.write_text(operator_routes::written(2, MANY));
+  fleet.write_text(operator_routes::configuration_text(2, MANY));
   let written_at = fleet.now;
   assert_in_time(&mut fleet, &all(), 2, written_at, LATE_MS);
 }
--- a/tests/store_client.rs
+++ b/tests/store_client.rs
@@ -10,7 +10,7 @@
     store::{self, Error, Key, Refusal, Reply, Revision, Store, StoreRequest, Value},
   },
   std::{cell::RefCell, net::SocketAddr, rc::Rc},
-  support::answering_store::{Step, head, run, store, whole},
+  support::scripted_store::{Step, head, run, store, whole},
 };
 
 /// The client's minimum timeout in milliseconds.
--- a/tests/store_fuzz.rs
+++ b/tests/store_fuzz.rs
@@ -14,7 +14,7 @@
   },
   serde_json::json,
   std::{cell::RefCell, rc::Rc},
-  support::answering_store::{run, store, whole},
+  support::scripted_store::{run, store, whole},
 };
 
 /// The number of random answers.
--- a/tests/support/lines.rs
+++ b/tests/support/box_links.rs
@@ -19,7 +19,7 @@
 /// The network links of the boxes. Each direction of a link transmits messages one after the other,
 /// in the order of sending.
 #[derive(Default)]
-pub struct Lines {
+pub struct BoxLinks {
   /// The default bandwidth of a link in each direction, in Mbit/s; 0 for unlimited.
   pub common_mbps: u32,
   /// The time in microseconds when each direction has transmitted everything sent so far.
@@ -27,7 +27,7 @@
   own_mbps: BTreeMap<BoxId, u32>,
 }
 
-impl Lines {
+impl BoxLinks {
   /// Sets the bandwidth of one box's link in each direction, in Mbit/s.
   pub fn set(&mut self, box_id: BoxId, mbps: u32) {
     self.own_mbps.insert(box_id, mbps);
--- a/tests/support/read_once.rs
+++ b/tests/support/cached_source.rs
@@ -10,18 +10,18 @@
 
 /// Caches the results of another source.
 #[derive(Debug)]
-pub struct ReadOnce<S> {
+pub struct CachedSource<S> {
   read: Mutex<BTreeMap<String, Result<Configuration, Unreadable>>>,
   source: S,
 }
 
-impl<S> ReadOnce<S> {
+impl<S> CachedSource<S> {
   pub fn new(source: S) -> Self {
     Self { read: Mutex::default(), source }
   }
 }
 
-impl<S: Source> Source for ReadOnce<S> {
+impl<S: Source> Source for CachedSource<S> {
   fn key(&self) -> Key {
     self.source.key()
   }
--- a/tests/support/followers.rs
+++ b/tests/support/followers.rs
@@ -1,7 +1,7 @@
 //! A fleet of followers in virtual time, with a store that serves some boxes and not others.
 
 use super::{
-  lines::{self, Direction, Lines},
+  box_links::{self, Direction, BoxLinks},
   plain_source::{self, PlainSource},
 };
 
@@ -14,7 +14,7 @@
     },
     fleet::{Endpoint, EndpointState, EndpointTable, Peer},
     rollout::{ShareLimits, TrafficTable},
-    standin::Keyspace,
+    fake::Keyspace,
     store::{self, Era, Key, Refusal, Reply, StoreRequest, Value},
     values::{BoxId, DataHall, Incarnation, Time, Version},
   },
@@ -80,7 +80,7 @@
   /// What the store was when reads that may be old are answered from it; nothing while they are new.
   old: Option<Keyspace>,
   /// What the boxes' links carry.
-  pub lines: Lines,
+  pub lines: BoxLinks,
   /// The other end of each link: the box, and its name there.
   links: BTreeMap<(BoxId, LinkId), (BoxId, LinkId)>,
   /// What the boxes logged.
@@ -134,7 +134,7 @@
       news_messages: 0,
       newest_reads: 0,
       old: None,
-      lines: Lines::default(),
+      lines: BoxLinks::default(),
       links: BTreeMap::new(),
       logged: Vec::new(),
       now: 1_000,
@@ -278,7 +278,7 @@
 
   /// The operators write a version with so many services.
   pub fn write_services(&mut self, version: u64, count: usize) {
-    self.write_text(plain_source::written(version, count));
+    self.write_text(plain_source::configuration_text(version, count));
   }
 
   /// The operators write some text where the configuration belongs.
@@ -289,7 +289,7 @@
 
   /// Another writer puts an item in that may be no text.
   pub fn write_foreign(&mut self, key: &str, value: Value) {
-    self.keyspace.write_foreign(&Key::of(&[key]), value);
+    self.keyspace.write_value(&Key::of(&[key]), value);
   }
 
   /// Writes an item of the operators, or of the fleet.
@@ -355,7 +355,7 @@
 
   /// All leases end at once.
   pub fn lapse_leases(&mut self) {
-    self.keyspace.lapse_leases();
+    self.keyspace.expire_all_leases();
   }
 
   /// Lets time pass.
@@ -468,7 +468,7 @@
     }
     if let Some((to, link)) = self.links.get(&(from.clone(), link)).cloned() {
       let bytes = if self.lines.is_bound(from) || self.lines.is_bound(&to) {
-        lines::message_bytes(&message)
+        box_links::message_bytes(&message)
       } else {
         0
       };
@@ -491,7 +491,7 @@
   }
 
   fn call_store(&mut self, box_id: &BoxId, call: u64, request: StoreRequest) {
-    let (bytes, now_us) = (lines::request_bytes(&request), self.now * 1_000);
+    let (bytes, now_us) = (box_links::request_bytes(&request), self.now * 1_000);
     let left_at_us = self.lines.carry(box_id, Direction::Outward, now_us, bytes);
     if left_at_us <= now_us {
       self.call_arrives(box_id, call, request);
@@ -561,12 +561,12 @@
 
   /// The store forgets all changes up to now.
   pub fn forget_history(&mut self) {
-    self.keyspace.forget_history();
+    self.keyspace.compact();
   }
 
   fn answer(&mut self, box_id: &BoxId, call: u64, result: store::Result<Reply>) {
-    let bytes = lines::answer_bytes(&result);
-    let result = result.map(|reply| reply.of_era(self.era));
+    let bytes = box_links::answer_bytes(&result);
+    let result = result.map(|reply| reply.with_era(self.era));
     let answered = Event::StoreAnswered { call, era: self.era, result };
     self.convey(None, box_id, bytes, Coming::Event(Box::new(answered)));
   }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -3,16 +3,16 @@
 
 #![allow(dead_code)]
 
-pub mod answering_store;
+pub mod box_links;
+pub mod cached_source;
 pub mod command;
 pub mod endpoints;
 pub mod followers;
-pub mod lines;
 pub mod operator_routes;
 pub mod oracle;
 pub mod plain_source;
-pub mod read_once;
 pub mod rollout_world;
+pub mod scripted_store;
 pub mod world;
 
 use arbtest::{arbitrary::Unstructured, arbtest};
--- a/tests/support/operator_routes.rs
+++ b/tests/support/operator_routes.rs
@@ -6,7 +6,7 @@
 };
 
 /// Returns a configuration with `count` routes, whose names don't compress.
-pub fn written(version: u64, count: usize) -> String {
+pub fn configuration_text(version: u64, count: usize) -> String {
   let services = json!([{ "HealthPath": "/health", "MaxConnections": 110, "Name": "archive" }]);
   let limits = json!({
     "HeaderTimeout": "3000ms", "IdleTimeout": "15000ms",
--- a/tests/support/plain_source.rs
+++ b/tests/support/plain_source.rs
@@ -43,7 +43,7 @@
 }
 
 /// Returns a configuration with `count` services.
-pub fn written(version: u64, count: usize) -> String {
+pub fn configuration_text(version: u64, count: usize) -> String {
   let mut configuration = Configuration { version: Version(version), ..Configuration::default() };
   let owner: Team = "team".parse().expect("a name");
   let name: PolicyName = "policy".parse().expect("a name");
--- a/tests/support/world.rs
+++ b/tests/support/world.rs
@@ -13,7 +13,7 @@
     },
     fleet::{Endpoint, EndpointState, Peer},
     rollout::ShareLimits,
-    standin::Keyspace,
+    fake::Keyspace,
     store::{self, Era, Refusal, Reply, StoreRequest},
     values::{BoxId, Incarnation, Time, Version},
   },
