--- a/crates/ferryyoke-bench/src/lib.rs
+++ b/crates/ferryyoke-bench/src/lib.rs
@@ -10,8 +10,8 @@
   ferryyoke::{
     administration::{Answer, AnswerOutcome, StatementRequest},
     commands::{block_on, query},
+    fake::{BackendFaults, Journal, StoreFaults, StoreServer},
     proxy::headers,
-    standin::{BackendFaults, Journal, StoreFaults, StoreServer},
     unix_ms,
     values::{Digest, Version},
     web,
--- a/crates/ferryyoke-bench/tests/requests.rs
+++ b/crates/ferryyoke-bench/tests/requests.rs
@@ -4,8 +4,8 @@
 
 use {
   ferryyoke::{
+    fake::{BackendFaults, StoreFaults},
     proxy::headers,
-    standin::{BackendFaults, StoreFaults},
     web,
   },
   ferryyoke_bench::{Error, Fleet, Result},
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -5,10 +5,9 @@
 use crate::{
   administration::{Answer, AnswerOutcome, StatementRequest},
   daemon::{self, Daemon, Listeners, signals::Signals},
-  dev,
+  dev, fake,
   node::SystemClock,
   settings::Settings,
-  standin,
   telemetry::{BufferedOutput, Log},
 };
 
--- a/src/dev/mod.rs
+++ b/src/dev/mod.rs
@@ -6,11 +6,11 @@
   administration::{Answer, AnswerOutcome, StatementRequest},
   commands::query,
   daemon::{Daemon, Listeners, signals::Signals},
+  fake::{BackendServer, StoreServer},
   fleet::Peer,
   node::SystemClock,
   proxy::headers,
   settings::Settings,
-  standin::{BackendServer, StoreServer},
   telemetry::{Log, LogFormat, LogLevel},
   web::{AnyBody, Listener},
 };
--- a/src/fleet/backend_record.rs
+++ b/src/fleet/backend_record.rs
@@ -69,7 +69,7 @@
   /// Handles a report.
   pub fn reported(&mut self, now: Time, report: &BackendReport) -> ReportOutcome {
     if report.process.started_at.is_none() && self.has_start_times {
-      return ReportOutcome::Rejected("it does not say when its process started");
+      return ReportOutcome::Rejected("it does not say when its process started started");
     }
     if self.has_left(&report.process) {
       return ReportOutcome::Stale;
--- a/tests/claims_fuzz.rs
+++ b/tests/claims_fuzz.rs
@@ -6,8 +6,8 @@
 use {
   arbtest::arbitrary::{Result, Unstructured},
   ferryyoke::{
+    fake::Keyspace,
     requests::{Claim, ClaimOutcome, ClaimState, ClaimStep, ClaimTicket},
-    standin::Keyspace,
     store::{self, Refusal, Reply, Revision, StoreRequest},
     values::{Digest, Time},
   },
--- a/tests/narrow_links.rs
+++ b/tests/narrow_links.rs
@@ -4,7 +4,7 @@
 //! 10 Mbit/s for a second, and all other messages to that box queue behind it. So only few boxes
 //! may read it, updates between boxes must be small, and a neighbour whose messages are queued
 //! behind a large one must not be taken for failed. Time is virtual; each link is a first-in,
-//! first-out queue, see `support::lines`.
+//! first-out queue, see `support::box_links`.
 
 mod support;
 
@@ -14,7 +14,7 @@
     collections::{BTreeMap, BTreeSet},
     sync::Arc,
   },
-  support::{followers::Followers, operator_routes, read_once::ReadOnce},
+  support::{cached_source::CachedSource, followers::Followers, operator_routes},
 };
 
 /// Boxes, fourteen in each of three data halls.
@@ -39,12 +39,12 @@
 /// data halls, have links of 200 Mbit/s, and all others of 10 Mbit/s.
 fn fleet(wide: usize) -> Followers {
   let mut fleet = Followers::new();
-  fleet.source = Arc::new(ReadOnce::new(OperatorSource));
+  fleet.source = Arc::new(CachedSource::new(OperatorSource));
   fleet.lines.common_mbps = 10;
   for index in 0..wide {
     fleet.lines.set(Followers::box_id(index), 200);
   }
-  fleet.write_text(operator_routes::written(1, FEW));
+  fleet.write_text(operator_routes::configuration_text(1, FEW));
   for index in 0..BOXES {
     fleet.start(index, 1_000);
   }
@@ -102,7 +102,7 @@
 #[test]
 fn a_large_change_is_in_force_within_a_third_of_a_second() {
   let mut fleet = fleet(WIDE);
-  fleet.write_text(operator_routes::written(2, MANY));
+  fleet.write_text(operator_routes::configuration_text(2, MANY));
   let written_at = fleet.now;
   assert_in_time(&mut fleet, &all(), 2, written_at, PACKED_MS);
 }
@@ -112,7 +112,7 @@
 #[test]
 fn a_large_change_soon_after_the_start_is_read_by_the_watchers_only() {
   let mut fleet = fleet(WIDE);
-  fleet.write_text(operator_routes::written(2, MANY));
+  fleet.write_text(operator_routes::configuration_text(2, MANY));
   fleet.run(LATE_MS);
   let read = fleet.watched_configurations;
   assert!(read <= WIDE, "{read} whole configurations for {WIDE} watchers");
@@ -121,7 +121,7 @@
 #[test]
 fn a_large_change_is_in_force_in_time_where_all_links_are_narrow() {
   let mut fleet = fleet(0);
-  fleet.write_text(operator_routes::written(2, MANY));
+  fleet.write_text(operator_routes::configuration_text(2, MANY));
   let written_at = fleet.now;
   assert_in_time(&mut fleet, &all(), 2, written_at, LATE_MS);
 }
@@ -129,9 +129,9 @@
 #[test]
 fn the_second_of_two_large_changes_in_quick_succession_is_in_force_in_time() {
   let mut fleet = fleet(WIDE);
-  fleet.write_text(operator_routes::written(2, MANY));
+  fleet.write_text(operator_routes::configuration_text(2, MANY));
   fleet.run(300);
-  fleet.write_text(operator_routes::written(3, FEW));
+  fleet.write_text(operator_routes::configuration_text(3, FEW));
   let written_at = fleet.now;
   assert_in_time(&mut fleet, &all(), 3, written_at, LATE_MS);
 }
@@ -140,7 +140,7 @@
 fn a_large_change_is_in_force_in_time_where_a_watcher_dies_while_it_sends_it() {
   const WATCHER: usize = 0;
   let mut fleet = fleet(WIDE);
-  fleet.write_text(operator_routes::written(2, MANY));
+  fleet.write_text(operator_routes::configuration_text(2, MANY));
   let written_at = fleet.now;
   let others: BTreeSet<usize> = all().into_iter().filter(|index| *index != WATCHER).collect();
   arrivals(&mut fleet, &BTreeSet::from([WATCHER]), 2);
@@ -156,7 +156,7 @@
 fn boxes_that_start_amid_a_large_change_hold_it_in_time_and_delay_nobody() {
   const NEW: usize = 10;
   let mut fleet = fleet(WIDE);
-  fleet.write_text(operator_routes::written(2, MANY));
+  fleet.write_text(operator_routes::configuration_text(2, MANY));
   let written_at = fleet.now;
   fleet.run(50);
   let started_at = fleet.now;
@@ -175,7 +175,7 @@
   let turned_away = (0..BOXES).filter(|index| index / 3 % 3 == 0);
   fleet.rejected_boxes.extend(turned_away.map(Followers::box_id));
   fleet.run(50);
-  fleet.write_text(operator_routes::written(2, MANY));
+  fleet.write_text(operator_routes::configuration_text(2, MANY));
   let written_at = fleet.now;
   assert_in_time(&mut fleet, &all(), 2, written_at, LATE_MS);
 }
--- a/tests/support/read_once.rs
+++ b/tests/support/cached_source.rs
@@ -1,4 +1,4 @@
-//! A source that reads each text once for all boxes of a fleet, so that large ones take little time.
+//! A configuration source with a cache, so that the boxes of a fleet parse a large text only once.
 
 use {
   ferryyoke::{
@@ -8,20 +8,20 @@
   std::{collections::BTreeMap, sync::Mutex},
 };
 
-/// Reads as another source does, and remembers what it read.
+/// Caches the results of another source.
 #[derive(Debug)]
-pub struct ReadOnce<S> {
+pub struct CachedSource<S> {
   read: Mutex<BTreeMap<String, Result<Configuration, ParseError>>>,
   source: S,
 }
 
-impl<S> ReadOnce<S> {
+impl<S> CachedSource<S> {
   pub fn new(source: S) -> Self {
     Self { read: Mutex::default(), source }
   }
 }
 
-impl<S: Source> Source for ReadOnce<S> {
+impl<S: Source> Source for CachedSource<S> {
   fn key(&self) -> Key {
     self.source.key()
   }
--- a/tests/support/followers.rs
+++ b/tests/support/followers.rs
@@ -1,7 +1,7 @@
 //! Simulates a fleet of followers in virtual time, with a store that can reject some of the boxes.
 
 use super::{
-  lines::{self, Direction, Lines},
+  box_links::{self, BoxLinks, Direction},
   plain_source::{self, PlainSource},
 };
 
@@ -12,9 +12,9 @@
       Action, Distribution, Event, Follower, Identity, LinkId, Message, Moment, PackedUpdate,
       Timing, UnreadableEntry, Update,
     },
+    fake::Keyspace,
     fleet::{Endpoint, EndpointState, EndpointTable, Peer},
     rollout::{ShareLimits, TrafficTable},
-    standin::Keyspace,
     store::{self, Era, Key, Refusal, Reply, StoreRequest, Value},
     values::{BoxId, DataHall, Incarnation, Time, Version},
   },
@@ -80,7 +80,7 @@
   /// The earlier state of the store that stale reads get; `None` while they get the current state.
   stale_store: Option<Keyspace>,
   /// The rates of the boxes' links.
-  pub lines: Lines,
+  pub lines: BoxLinks,
   /// The other end of each link: the box and the link's id there.
   links: BTreeMap<(BoxId, LinkId), (BoxId, LinkId)>,
   /// The boxes' log lines.
@@ -134,7 +134,7 @@
       news_messages: 0,
       linearizable_reads: 0,
       stale_store: None,
-      lines: Lines::default(),
+      lines: BoxLinks::default(),
       links: BTreeMap::new(),
       logged: Vec::new(),
       now: 1_000,
@@ -279,7 +279,7 @@
 
   /// Writes a configuration with `count` services as the operators.
   pub fn write_services(&mut self, version: u64, count: usize) {
-    self.write_text(plain_source::written(version, count));
+    self.write_text(plain_source::configuration_text(version, count));
   }
 
   /// Writes text under the key of the configuration as the operators.
@@ -290,7 +290,7 @@
 
   /// Writes an entry, which need not be text, as a foreign writer.
   pub fn write_foreign(&mut self, key: &str, value: Value) {
-    self.keyspace.write_foreign(&Key::of(&[key]), value);
+    self.keyspace.write_value(&Key::of(&[key]), value);
   }
 
   /// Writes an entry of the operators or of the fleet.
@@ -356,7 +356,7 @@
 
   /// Expires all leases at once.
   pub fn lapse_leases(&mut self) {
-    self.keyspace.lapse_leases();
+    self.keyspace.expire_all_leases();
   }
 
   /// Runs the simulation for some time.
@@ -470,7 +470,7 @@
     }
     if let Some((to, link)) = self.links.get(&(from.clone(), link)).cloned() {
       let bytes = if self.lines.is_bound(from) || self.lines.is_bound(&to) {
-        lines::message_bytes(&message)
+        box_links::message_bytes(&message)
       } else {
         0
       };
@@ -494,7 +494,7 @@
   }
 
   fn call_store(&mut self, box_id: &BoxId, call: u64, request: StoreRequest) {
-    let (bytes, now_us) = (lines::request_bytes(&request), self.now * 1_000);
+    let (bytes, now_us) = (box_links::request_bytes(&request), self.now * 1_000);
     let left_at_us = self.lines.carry(box_id, Direction::Outward, now_us, bytes);
     if left_at_us <= now_us {
       self.call_arrives(box_id, call, request);
@@ -566,12 +566,12 @@
 
   /// Compacts the store's history up to now.
   pub fn forget_history(&mut self) {
-    self.keyspace.forget_history();
+    self.keyspace.compact();
   }
 
   fn answer(&mut self, box_id: &BoxId, call: u64, result: store::Result<Reply>) {
-    let bytes = lines::answer_bytes(&result);
-    let result = result.map(|reply| reply.of_era(self.era));
+    let bytes = box_links::answer_bytes(&result);
+    let result = result.map(|reply| reply.with_era(self.era));
     let answered = Event::StoreAnswered { call, era: self.era, result };
     self.transmit(None, box_id, bytes, Scheduled::Event(Box::new(answered)));
   }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,25 +1,26 @@
-//! What the fuzz tests share: a small world of pure state machines, and the oracle beside it.
+//! Shared test support, including a simulated world of state machines and the oracle that checks
+//! it.
 
 #![allow(dead_code)]
 
-pub mod answering_store;
+pub mod box_links;
+pub mod cached_source;
 pub mod command;
 pub mod endpoints;
 pub mod followers;
-pub mod lines;
 pub mod operator_routes;
 pub mod oracle;
 pub mod plain_source;
-pub mod read_once;
 pub mod rollout_world;
+pub mod scripted_store;
 pub mod world;
 
 use arbtest::{arbitrary::Unstructured, arbtest};
 
-/// Bytes of randomness of one history.
+/// The number of random bytes per history.
 const HISTORY_BYTES: u64 = 4_096;
 
-/// Runs `property` on `count` histories, the same ones every time.
+/// Runs `property` on `count` random histories with fixed seeds.
 pub fn histories(
   count: u64,
   mut property: impl FnMut(&mut Unstructured) -> arbtest::arbitrary::Result<()>,
