--- a/src/administration/answer.rs
+++ b/src/administration/answer.rs
@@ -1,25 +1,25 @@
 use super::*;
 
-/// What a statement brought, in a form that stays stable for programs.
+/// The answer to a statement. Programs rely on this form.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Answer {
   /// The configuration as a document, for `export`.
   #[serde(default, skip_serializing_if = "Option::is_none")]
   pub document: Option<serde_json::Value>,
-  /// What to tell people.
+  /// The message for operators; may be empty.
   pub message: String,
-  /// How the statement ended.
+  /// The outcome of the statement.
   pub outcome: AnswerOutcome,
-  /// What was asked for.
+  /// The rows that were asked for.
   #[serde(default)]
   pub table: Table,
-  /// The version that the answer is about.
+  /// The version of the configuration that the answer refers to.
   #[serde(default, skip_serializing_if = "Option::is_none")]
   pub version: Option<Version>,
 }
 
 impl Answer {
-  /// A statement that was carried out.
+  /// Returns the answer to a statement that was carried out.
   pub fn done(message: impl Into<String>) -> Self {
     Self {
       document: None,
@@ -30,23 +30,23 @@
     }
   }
 
-  /// A table of what was asked for.
+  /// Returns the answer to a question, with its rows.
   pub fn table(message: impl Into<String>, table: Table) -> Self {
     Self { table, ..Self::done(message) }
   }
 
-  /// A statement that may have taken effect.
+  /// Returns the answer to a statement that may have taken effect.
   pub fn unknown(message: impl Into<String>) -> Self {
     Self { outcome: AnswerOutcome::Unknown, ..Self::done(message) }
   }
 
-  /// The same about a version.
+  /// Returns this answer with `version` set.
   #[must_use]
   pub fn at(self, version: Version) -> Self {
     Self { version: Some(version), ..self }
   }
 
-  /// The answer as JSON, with rows as objects.
+  /// Returns the answer as JSON, with each row as an object.
   pub fn json(&self) -> serde_json::Value {
     serde_json::json!({
       "document": self.document,
--- a/src/administration/answer_outcome.rs
+++ b/src/administration/answer_outcome.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-/// How a statement ended.
+/// The outcome of a statement.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AnswerOutcome {
-  /// It was carried out.
+  /// The statement was carried out.
   Done,
-  /// It changed nothing.
+  /// The statement was refused and changed nothing.
   Refused,
-  /// It may have taken effect.
+  /// The statement may have taken effect.
   Unknown,
 }
--- a/src/administration/bearer.rs
+++ b/src/administration/bearer.rs
@@ -1,19 +1,20 @@
 use super::*;
 
-/// Who speaks to the administration API.
+/// The authenticated user of the administration API.
 #[derive(Clone, Debug)]
 pub struct Bearer {
-  /// The bearer.
+  /// The operator's name.
   pub operator: Operator,
-  /// What the bearer may do.
+  /// The role, which decides what is allowed.
   pub role: Role,
-  /// The bearer's team.
+  /// The operator's team.
   pub team: Team,
 }
 
 impl Bearer {
-  /// Finds the bearer of the token in `headers`. Where the settings name no tokens, administration
-  /// is on loopback only and whoever is on the box may do everything.
+  /// Identifies the user by the bearer token in `headers`; fails with `Unauthorized` if it is
+  /// missing or unknown. Without tokens in the settings, the API listens on loopback only and every
+  /// user of the box is an administrator.
   pub fn of(shared: &Shared, headers: &HeaderMap) -> Result<Self> {
     let tokens = &shared.settings.tokens;
     if tokens.is_empty() {
@@ -22,7 +23,7 @@
     let value = headers.get(http::header::AUTHORIZATION).and_then(|value| value.to_str().ok());
     let text = value.and_then(|value| value.strip_prefix("Bearer ")).ok_or(Error::Unauthorized)?;
     let given = Digest::of(text.as_bytes());
-    // Every token is compared, so that the time tells nothing.
+    // Compares every token, so that the response time does not reveal which one matches.
     let mut found = None;
     for token in tokens {
       let digest = token.digest.as_bytes();
@@ -42,7 +43,7 @@
     }
   }
 
-  /// Refuses what the role does not allow.
+  /// Fails with `Forbidden` unless the role includes `needed`. The error names the action `what`.
   pub fn check(&self, needed: Role, what: &str) -> Result {
     let allowed = match needed {
       Role::Administrator => self.role == Role::Administrator,
@@ -55,7 +56,7 @@
     Err(language::Error::Forbidden { what: what.into() }.into())
   }
 
-  /// The bearer as the author of a change.
+  /// Returns the user as the author of a change.
   pub fn author(&self) -> Author {
     Author {
       is_administrator: self.role == Role::Administrator,
--- a/src/administration/changes.rs
+++ b/src/administration/changes.rs
@@ -1,14 +1,14 @@
-//! Statements that change the configuration.
+//! Statements that change the configuration, and the restoring of the store.
 
 use super::*;
 
-/// Milliseconds for which a change is tried.
+/// Time in milliseconds until the retries of a change end.
 const PATIENCE_MS: u64 = 5_000;
 
-/// Older snapshots that are kept for rollbacks.
+/// Number of older snapshots, and of archives, that are kept for rollbacks.
 const SNAPSHOTS_KEPT: usize = 8;
 
-/// Makes the changes of a script one version, or shows what they would change.
+/// Applies the changes of a script as one new version. A dry run only shows the difference.
 pub async fn make(
   node: &Rc<Node>,
   bearer: &Bearer,
@@ -41,14 +41,14 @@
   accept(node, held, change).await
 }
 
-/// Services by the box that serves them.
+/// Returns the service of each box.
 fn boxes(node: &Node) -> BTreeMap<BoxId, ServiceName> {
   let distributor = node.distribution.distributor();
   let endpoints = distributor.endpoints().iter();
   endpoints.map(|one| (one.peer.box_id.clone(), one.service.clone())).collect()
 }
 
-/// Shows the difference that a change would make and whom it concerns.
+/// Checks a change without making it; answers with the difference and the number of affected boxes.
 fn dry_run(node: &Node, held: &Configuration, change: &Change) -> Result<Answer> {
   let accepted = held.accept(change, &[]);
   let accepted = accepted.map_err(|err| Error::Change(err.into()))?;
@@ -81,7 +81,7 @@
   }
 }
 
-/// Carries out the steps of an acceptance until it ends.
+/// Runs the steps of an acceptance until it ends.
 async fn drive(shared: &Shared, mut acceptance: Acceptance) -> Outcome {
   let mut step = acceptance.resume();
   loop {
@@ -99,12 +99,13 @@
   }
 }
 
-/// Removes snapshots and archives too old for any rollback, behind the answer.
+/// Removes the snapshots and archives beyond `SNAPSHOTS_KEPT` in the background, so that the answer
+/// does not wait.
 fn prune(shared: &Rc<Shared>) {
   let shared = shared.clone();
   monoio::spawn(async move {
     if let Err(err) = remove_old(&shared).await {
-      debug!(shared.log.logger, "old snapshots stay for now"; "why" => err.to_string());
+      debug!(shared.log.logger, "cannot remove old snapshots"; "why" => err.to_string());
     }
   });
 }
@@ -113,7 +114,7 @@
   let Some((head, _)) = recall::head(shared).await? else {
     return Ok(());
   };
-  // Only a change that stored a snapshot can have left something to remove.
+  // Old snapshots become surplus only when a change stores a new one.
   if head.version != head.snapshot_version {
     return Ok(());
   }
@@ -132,7 +133,7 @@
   Ok(())
 }
 
-/// Writes the held version back to a store that knows only older ones.
+/// Writes this box's configuration back to a store that holds an older version or none.
 pub async fn restore_store(node: &Rc<Node>) -> Result<Answer> {
   let shared = &node.shared;
   let held = shared.configuration().ok_or(Error::NoConfiguration)?;
@@ -167,7 +168,7 @@
   Ok(Answer::done(message).at(held.version))
 }
 
-/// Only the newest version that any box holds may go back to the store.
+/// Fails if another box holds a newer version: only the newest one may be written back.
 async fn check_newest(node: &Rc<Node>, held: &Configuration) -> Result {
   let inquired = node.distribution.ask(FleetQuestion::Rollout).await;
   let newer = inquired.reports.iter().find_map(|report| match report {
--- a/src/administration/error.rs
+++ b/src/administration/error.rs
@@ -1,34 +1,34 @@
 use super::*;
 
-/// Why a statement is refused. Nothing was changed.
+/// The error of a statement that was refused; it changed nothing.
 #[derive(Debug)]
 pub enum Error {
-  /// The call itself is malformed.
+  /// The HTTP request is malformed.
   Call {
-    /// Why.
+    /// What is malformed.
     reason: String,
   },
-  /// Too many statements at once.
+  /// Too many statements run at once.
   Busy,
-  /// The change does not hold.
+  /// The change was refused, for example because of a conflict.
   Change(crate::distribution::RefusalReason),
-  /// The statement is not understood or not allowed.
+  /// The script is invalid or not allowed.
   Language(language::Error),
   /// This box holds no configuration yet.
   NoConfiguration,
-  /// The store could not be asked.
+  /// The call of the store failed.
   Store(store::Error),
-  /// No valid token came with the call.
+  /// The request has no valid token.
   Unauthorized,
-  /// What was asked about is not known.
+  /// The subject of the statement is unknown.
   Unknown {
-    /// What is not known, and why.
+    /// What is unknown, and why.
     what: String,
   },
 }
 
 impl Error {
-  /// The status that goes with it.
+  /// Returns the HTTP status of the error.
   pub fn status(&self) -> StatusCode {
     match self {
       Self::Busy => StatusCode::TOO_MANY_REQUESTS,
--- a/src/administration/mod.rs
+++ b/src/administration/mod.rs
@@ -1,4 +1,4 @@
-//! The administration API of a node: statements, health and metrics over HTTP.
+//! The administration API of a node: statements, health checks and metrics over HTTP.
 
 use super::*;
 
--- a/src/administration/questions.rs
+++ b/src/administration/questions.rs
@@ -1,4 +1,4 @@
-//! Statements that ask.
+//! Answers to questions about the configuration and the fleet.
 
 use super::*;
 
@@ -34,7 +34,8 @@
   }
 }
 
-/// How far a service's move to another version has come, and what its answers came to.
+/// Shows the progress of a service's software rollout, with counts of answers by version and
+/// route.
 fn rollout_of(node: &Node, service: &ServiceName) -> Result<Answer> {
   let now = node.shared.now().time;
   let distributor = node.distribution.distributor();
@@ -65,7 +66,8 @@
   Ok(Answer::table(message, table))
 }
 
-/// What became of a change: the store knows best, and the held history serves while it is silent.
+/// Looks up an accepted change. The store's history is authoritative; the local copy serves while
+/// the store does not answer.
 async fn change(node: &Node, id: &ChangeId) -> Result<Answer> {
   let asked = recall::head(&node.shared).await;
   let from_store = asked.as_ref().ok().and_then(Option::as_ref);
@@ -84,7 +86,7 @@
   Err(Error::Unknown { what })
 }
 
-/// What differs between two configurations.
+/// Returns the objects that differ between two configurations.
 pub fn difference(from: &Configuration, to: &Configuration) -> Table {
   let mut table = Table::new(&["object", "difference", "from", "to"]);
   let names: BTreeSet<ObjectName> =
@@ -217,7 +219,8 @@
   Answer::table("", table)
 }
 
-/// The requests under which backend servers ended, those of the most crashes first, and what that means for them now.
+/// Lists the requests during which backend servers crashed, most crashes first, with their status
+/// in the quarantine.
 fn suspects(node: &Node) -> Answer {
   let now = node.shared.now().time;
   let quarantine = node.shared.quarantine.borrow();
@@ -238,7 +241,9 @@
   Answer::table("", table)
 }
 
-/// Which version each box applies, as the relays know it, by box.
+/// Asks the fleet which version each box applies. Returns, by box, the version, its time of
+/// application in Unix milliseconds and the last refusal; and the number of neighbours that did not
+/// answer.
 async fn applied(
   node: &Rc<Node>,
 ) -> (BTreeMap<BoxId, (Option<Version>, u64, Option<String>)>, usize) {
--- a/src/administration/recall.rs
+++ b/src/administration/recall.rs
@@ -1,10 +1,10 @@
-//! Older versions, made again from what the store keeps.
+//! Reads the head and older versions of the configuration from the store.
 
 use super::*;
 
 use crate::store::{Key, Revision};
 
-/// The store's head with its revision; nothing where there is none.
+/// Reads the store's head and its revision; `None` if the store has no head.
 pub async fn head(shared: &Shared) -> Result<Option<(Head, Revision)>> {
   let Some(entry) = read(shared, keys::head()).await? else {
     return Ok(None);
@@ -13,7 +13,7 @@
   Ok(Some((head, entry.revision)))
 }
 
-/// The entries under a prefix, by key.
+/// Reads the entries under a prefix, in the order of their keys.
 pub async fn keys_under(shared: &Shared, prefix: Key) -> Result<Vec<Entry>> {
   match shared.call_store(StoreRequest::List { prefix }).await? {
     Reply::Entries { entries, .. } => Ok(entries),
@@ -32,7 +32,7 @@
   Error::Unknown { what: format!("the value of {key} cannot be read: repair it in the store") }
 }
 
-/// The older versions that a script's rollbacks name.
+/// Loads the versions that the rollbacks of a script name.
 pub async fn versions(
   node: &Node,
   script: &Script,
@@ -46,7 +46,8 @@
   Ok(found)
 }
 
-/// One version, as far back as the store keeps.
+/// Loads a version, from this box or from the snapshots and archives in the store. Fails with
+/// `Unknown` if the version is no longer kept.
 pub async fn version_of(shared: &Shared, wanted: Version) -> Result<Arc<Configuration>> {
   if let Some(held) = shared.configuration().filter(|held| held.version == wanted) {
     return Ok(held);
--- a/src/administration/serve.rs
+++ b/src/administration/serve.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 
-/// Statements that may be at work at once.
+/// Limit on statements that run at once.
 const AT_WORK_MAX: usize = 32;
 
-/// Serves one call.
+/// Serves an HTTP request of the administration API.
 pub async fn serve(node: Rc<Node>, request: Request<Incoming>) -> Response<AnyBody> {
   match (request.method(), request.uri().path()) {
     (&Method::GET, "/healthz") => web::text(StatusCode::OK, "live"),
@@ -74,7 +74,7 @@
   }
 }
 
-/// A place among the statements at work, given back when dropped.
+/// Counts a running statement until it is dropped.
 struct AtWork(Rc<Node>);
 
 impl AtWork {
--- a/src/administration/table.rs
+++ b/src/administration/table.rs
@@ -2,17 +2,17 @@
 
 use serde_json::Value;
 
-/// Rows under named columns.
+/// A table of JSON values with named columns.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Table {
-  /// The columns.
+  /// The names of the columns.
   pub columns: Vec<String>,
-  /// The rows, each as long as `columns`.
+  /// The rows; each has one value per column.
   pub rows: Vec<Vec<Value>>,
 }
 
 impl Table {
-  /// A table without rows.
+  /// Returns a table without rows.
   pub fn new(columns: &[&str]) -> Self {
     Self { columns: columns.iter().map(ToString::to_string).collect(), rows: Vec::new() }
   }
@@ -23,7 +23,7 @@
     self.rows.push(row.into());
   }
 
-  /// The rows as JSON objects.
+  /// Returns each row as a JSON object with the columns as keys.
   pub fn objects(&self) -> Vec<Value> {
     let object = |row: &Vec<Value>| {
       let fields = self.columns.iter().cloned().zip(row.iter().cloned());
@@ -33,7 +33,7 @@
   }
 }
 
-/// A cell as people read it.
+/// Returns the text of a cell.
 fn cell(value: &Value) -> String {
   match value {
     Value::Null => "-".into(),
--- a/src/administration/why.rs
+++ b/src/administration/why.rs
@@ -1,10 +1,10 @@
-//! Statements that ask why.
+//! Answers to `why` and `explain`.
 
 use super::*;
 
 use serde_json::json;
 
-/// Why a box holds a route.
+/// Shows why a box holds a route: the change that set it, and how the box received it.
 pub async fn box_holds(node: &Rc<Node>, box_id: &BoxId, route: &RouteName) -> Result<Answer> {
   let held = node.shared.configuration().ok_or(Error::NoConfiguration)?;
   let name = ObjectName::Route(route.clone());
@@ -72,7 +72,7 @@
   table.add([json!("reason"), json!(summary.reason)]);
 }
 
-/// What became of a request, whichever daemon carried it.
+/// Shows the recorded steps of a request, whichever daemon handled it.
 pub async fn request(node: &Rc<Node>, id: &RequestId) -> Result<Answer> {
   let inquired = node.distribution.ask(FleetQuestion::Request { id: id.clone() }).await;
   let mut records: Vec<RequestRecord> = inquired
@@ -95,7 +95,7 @@
   Ok(Answer::table("", table).at(version))
 }
 
-/// Says why nobody remembers a request.
+/// Returns the reason why no box has a record of a request.
 fn lost(node: &Node, id: &RequestId, missing: usize) -> String {
   let distributor = node.distribution.distributor();
   let named = |endpoint: &&Endpoint| {
@@ -144,7 +144,7 @@
   add("ended", format!("status {} after {} us", record.status, record.took_us));
 }
 
-/// Where a request would go.
+/// Shows the route and the candidates for a request without sending it.
 pub fn explain(
   node: &Node,
   method: &str,
--- a/src/commands/arguments.rs
+++ b/src/commands/arguments.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// The arguments that the process takes.
+/// Returns the definition of the command line.
 pub fn arguments() -> Command {
   Command::new("ferryyoke")
     .about("Configuration distribution for a service mesh: one daemon beside each backend server")
@@ -116,7 +116,7 @@
     .subcommand(Command::new("store").arg(listen))
 }
 
-/// A backend server's name with its address.
+/// The name and address of a backend server.
 pub(super) type NamedAddress = (String, SocketAddr);
 
 fn named_address(text: &str) -> std::result::Result<NamedAddress, String> {
--- a/src/commands/check.rs
+++ b/src/commands/check.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Checks a settings file.
+/// Checks a settings file and prints a summary of it.
 pub fn check(path: &Path) -> Result {
   let settings = Settings::load(path)?;
   println!(
--- a/src/commands/error.rs
+++ b/src/commands/error.rs
@@ -1,31 +1,31 @@
 use super::*;
 
-/// Why a command failed.
+/// The error of a command.
 #[derive(Debug)]
 pub enum Error {
-  /// The daemon cannot run.
+  /// The daemon failed to start.
   Daemon(daemon::Error),
-  /// The tour found something wrong.
+  /// A check of `dev` failed.
   Dev(dev::Error),
-  /// A file, or standard input, cannot be read.
+  /// A file or standard input cannot be read.
   Input(io::Error),
-  /// The administration API cannot be asked.
+  /// The call of the administration API failed.
   Query {
-    /// The address.
+    /// The address of the API.
     address: SocketAddr,
-    /// What went wrong.
+    /// The cause.
     reason: String,
   },
-  /// The statement did not succeed; its answer was printed.
+  /// The statement did not succeed; its answer is printed already.
   Refused,
-  /// The settings are wrong.
+  /// The settings are invalid.
   Settings(settings::Error),
-  /// The time is up.
+  /// The command exceeded its timeout.
   TimeUp,
 }
 
 impl Error {
-  /// The exit code that goes with it.
+  /// Returns the exit code of the process.
   pub fn exit_code(&self) -> u8 {
     if matches!(self, Self::Settings(_)) { USAGE } else { FAILED }
   }
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -27,14 +27,14 @@
 /// Result of a command.
 pub type Result<T = (), E = Error> = std::result::Result<T, E>;
 
-/// Exit code of a command that was carried out.
+/// Exit code of a command that succeeded.
 const DONE: u8 = 0;
 /// Exit code of a command that failed.
 const FAILED: u8 = 1;
-/// Exit code of wrong usage or settings.
+/// Exit code of wrong usage or invalid settings.
 const USAGE: u8 = 2;
 
-/// Carries out the command in `words`, the program's name first, and returns the exit code.
+/// Runs the command in `words`, which start with the program's name, and returns the exit code.
 pub fn execute(words: impl Iterator<Item = std::ffi::OsString>) -> std::process::ExitCode {
   let matches = match arguments().try_get_matches_from(words) {
     Ok(matches) => matches,
@@ -76,8 +76,8 @@
   matches.get_one::<PathBuf>(name).expect("the parser demands it")
 }
 
-/// Runs a future on an event loop of this thread. The loop polls with epoll; `io_uring` is not even
-/// compiled in.
+/// Runs a future on an event loop on this thread. The loop uses epoll; `io_uring` is not compiled
+/// in.
 pub fn block_on<F: Future>(future: F) -> Result<F::Output> {
   let mut runtime = monoio::RuntimeBuilder::<monoio::LegacyDriver>::new()
     .enable_timer()
--- a/src/commands/query.rs
+++ b/src/commands/query.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 
-/// Milliseconds between two looks at a rollout.
+/// Interval in milliseconds between two polls of a rollout.
 const WATCH_PERIOD_MS: u64 = 250;
 
-/// Largest answer in bytes.
+/// Size limit of an answer in bytes.
 const ANSWER_BYTES_MAX: usize = 16 << 20;
 
 struct Query {
@@ -16,7 +16,7 @@
   token: Option<String>,
 }
 
-/// States a script to a daemon and prints what comes back.
+/// Sends a script to a daemon and prints the answer.
 pub fn query(matches: &ArgMatches) -> Result {
   let query = Query::read(matches)?;
   let timeout_ms = *matches.get_one::<u64>("timeout-ms").expect("it has a default");
@@ -64,7 +64,7 @@
     }
   }
 
-  /// Shows the progress of a rollout until every box applies the version.
+  /// Polls a rollout and shows its progress until every box applies the version.
   async fn watch(&self, text: &str) -> Result {
     loop {
       let answer = self.state(text).await?;
@@ -99,7 +99,7 @@
   }
 }
 
-/// States a script to the daemon at `address`.
+/// Sends a script to the daemon at `address` and returns the answer.
 pub async fn state(
   address: SocketAddr,
   token: Option<&str>,
--- a/src/commands/run.rs
+++ b/src/commands/run.rs
@@ -4,7 +4,7 @@
 
 use crate::daemon::signals::Request;
 
-/// Runs a daemon until it is asked to stop.
+/// Runs a daemon until a signal stops it.
 pub fn run(path: &Path) -> Result {
   let settings = Settings::load(path)?;
   let log = Log::new(settings.log_format, settings.log_level);
@@ -33,7 +33,7 @@
   Ok(())
 }
 
-/// What is asked for next: by a signal, or by a settings file that changed without one.
+/// Waits for a signal or for a change of the settings file, which requests a reload.
 async fn next(signals: &Signals, watch: &mut SettingsWatch) -> Result<Request> {
   let signal = Box::pin(signals.next());
   let changed = Box::pin(watch.changed());
--- a/src/commands/settings_watch.rs
+++ b/src/commands/settings_watch.rs
@@ -1,25 +1,25 @@
 use super::*;
 
-/// Notices that the settings file changed, with or without a signal.
+/// Detects changes of the settings file by polling it.
 pub struct SettingsWatch {
   path: PathBuf,
   seen: Option<Stamp>,
 }
 
-/// What differs between two states of a file: when it was written, and its size in bytes.
+/// The time of the last modification of a file, and its size in bytes.
 type Stamp = (SystemTime, u64);
 
 impl SettingsWatch {
-  /// Milliseconds between two looks at the file: a look costs one system call.
+  /// Interval in milliseconds between two polls of the file; a poll costs one system call.
   const LOOK_MS: u64 = 1_000;
 
-  /// A watch on a file that was just read.
+  /// Returns a watch on a file that was just read.
   pub fn new(path: &Path) -> Self {
     Self { path: path.into(), seen: stamp(path) }
   }
 
-  /// Waits until the file is another one than at the last look. A file that is away for a moment, while
-  /// another one takes its place, is no change yet.
+  /// Waits until the file differs from the last poll. A missing file does not count as a change: it
+  /// may be about to be replaced.
   pub async fn changed(&mut self) {
     loop {
       timer::sleep(Duration::from_millis(Self::LOOK_MS)).await;
@@ -31,7 +31,7 @@
     }
   }
 
-  /// The file was read for another reason.
+  /// Records that the file was read for another reason, so that its present state is no change.
   pub fn note_read(&mut self) {
     self.seen = stamp(&self.path).or(self.seen);
   }
--- a/src/commands/standins.rs
+++ b/src/commands/standins.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Serves stand-ins until the process ends.
+/// Runs stand-ins of the platform until the process ends.
 pub fn serve(matches: &ArgMatches) -> Result {
   block_on(async {
     match matches.subcommand() {
--- a/src/language/cursor.rs
+++ b/src/language/cursor.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// Reads the words of one statement in order.
+/// Reads the words of a statement in order.
 pub(super) struct Cursor<'a> {
-  /// The column after the last word.
+  /// The column after the last word, counted from 1.
   end: usize,
   words: &'a [Word],
 }
@@ -12,17 +12,17 @@
     Self { end, words }
   }
 
-  /// The next word, without taking it.
+  /// Returns the next word without consuming it.
   pub(super) fn peek(&self) -> Option<&'a Word> {
     self.words.first()
   }
 
-  /// Whether the next word is that keyword.
+  /// Returns whether the next word is `keyword`, unquoted.
   pub(super) fn is_next(&self, keyword: &str) -> bool {
     self.peek().is_some_and(|word| !word.is_quoted && word.text == keyword)
   }
 
-  /// Takes the next word where it is that keyword.
+  /// Consumes the next word if it is `keyword`; returns whether it was.
   pub(super) fn skip(&mut self, keyword: &str) -> bool {
     let is_next = self.is_next(keyword);
     if is_next {
@@ -31,25 +31,25 @@
     is_next
   }
 
-  /// Takes a keyword that must be next.
+  /// Consumes `keyword`; fails if the next word is another one.
   pub(super) fn keyword(&mut self, keyword: &str) -> Result {
     if self.skip(keyword) { Ok(()) } else { Err(self.unexpected(&[keyword])) }
   }
 
-  /// Takes one of several keywords.
+  /// Consumes and returns one of `keywords`; fails if the next word is none of them.
   pub(super) fn one_of(&mut self, keywords: &[&'static str]) -> Result<&'static str> {
     let found = keywords.iter().find(|keyword| self.skip(keyword));
     found.copied().ok_or_else(|| self.unexpected(keywords))
   }
 
-  /// Takes a text of any kind.
+  /// Consumes a word of any form. `expected` describes it in the error.
   pub(super) fn text(&mut self, expected: &str) -> Result<&'a str> {
     let word = self.peek().ok_or_else(|| self.wanted(expected))?;
     self.words = &self.words[1..];
     Ok(&word.text)
   }
 
-  /// Takes a value of a type.
+  /// Consumes and parses a value. `expected` describes it in the error.
   pub(super) fn value<T: FromStr>(&mut self, expected: &str) -> Result<T> {
     let parsed = self.peek().and_then(|word| word.text.parse().ok());
     let value = parsed.ok_or_else(|| self.wanted(expected))?;
@@ -57,7 +57,7 @@
     Ok(value)
   }
 
-  /// Checks that nothing follows.
+  /// Fails if words are left.
   pub(super) fn finish(&self) -> Result {
     if self.words.is_empty() { Ok(()) } else { Err(self.wanted("the end of the statement")) }
   }
@@ -66,7 +66,7 @@
     self.words.is_empty()
   }
 
-  /// The fault that none of these keywords is next.
+  /// Returns the error that none of `keywords` is next, with the nearest one as a suggestion.
   pub(super) fn unexpected(&self, keywords: &[&str]) -> Error {
     let found = self.peek().map_or("", |word| &word.text);
     let quoted: Vec<String> = keywords.iter().map(|keyword| format!("`{keyword}`")).collect();
@@ -81,7 +81,7 @@
     }
   }
 
-  /// The fault that something else is next.
+  /// Returns the error that the next word is not what `expected` describes.
   pub(super) fn wanted(&self, expected: &str) -> Error {
     let word = self.peek();
     let shown = |word: &Word| format!("`{}`", word.text.chars().take(40).collect::<String>());
--- a/src/language/document.rs
+++ b/src/language/document.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-/// A whole configuration as a document, without versions: what `export` gives and `apply` takes.
+/// A whole configuration without versions, as `export` returns and `apply` accepts it.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Document {
-  /// Boxes that receive no new work.
+  /// Boxes that receive no new requests.
   pub drains: BTreeMap<BoxId, Drain>,
   /// Organisations.
   #[serde(skip_serializing_if = "BTreeMap::is_empty")]
@@ -18,7 +18,7 @@
 }
 
 impl Document {
-  /// The document of a configuration.
+  /// Returns the document of a configuration.
   pub fn of(configuration: &Configuration) -> Self {
     fn plain<K: Clone + Ord, V: Clone>(
       objects: &BTreeMap<K, configuration::Revised<V>>,
@@ -47,7 +47,7 @@
     drains.chain(organisations).chain(policies).chain(routes).chain(services).collect()
   }
 
-  /// The steps that make `configuration` what the document says; none where it is that already.
+  /// Returns the operations that turn `configuration` into this document; none if they are equal.
   pub fn steps_from(&self, configuration: &Configuration) -> Vec<Operation> {
     let wanted = self.objects();
     let names: BTreeSet<ObjectName> = wanted.iter().map(Object::name).collect();
--- a/src/language/draft.rs
+++ b/src/language/draft.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// The object that a statement describes, field by field.
+/// An object and the fields that a `create` or `set` statement gives it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Draft {
-  /// The fields, in the order given. The last word about a field counts.
+  /// The fields in the order given. The last value of a field counts.
   pub fields: Vec<Field>,
   /// The object.
   pub object: ObjectName,
@@ -16,7 +16,7 @@
     Ok(Self { fields: Field::all(kind, cursor)?, object })
   }
 
-  /// A new object of these fields, owned by `team` unless a field says otherwise.
+  /// Returns a new object with these fields, owned by `team` unless a field names another owner.
   pub fn create(&self, team: &Team) -> Result<Object> {
     match &self.object {
       ObjectName::Drain(name) => Ok(Object::Drain(name.clone(), Drain { owner: team.clone() })),
@@ -82,7 +82,7 @@
     Error::FieldMissing { field, object: self.object.clone() }
   }
 
-  /// `object` with these fields set.
+  /// Returns `object` with these fields set.
   pub fn fill(&self, mut object: Object) -> Object {
     for field in self.fields.iter().cloned() {
       match &mut object {
--- a/src/language/error.rs
+++ b/src/language/error.rs
@@ -1,33 +1,33 @@
 use super::*;
 
-/// Why a script is not understood or not allowed.
+/// The error of a script that is invalid or not allowed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Error {
-  /// An object that should be new is there.
+  /// The object to create exists already.
   AlreadyThere {
     /// The object.
     object: ObjectName,
   },
-  /// A document cannot be read.
+  /// The JSON document is invalid.
   Document {
-    /// Why.
+    /// The parser's error.
     reason: String,
   },
-  /// A field was not given.
+  /// A required field is missing.
   FieldMissing {
     /// The field.
     field: &'static str,
     /// The object.
     object: ObjectName,
   },
-  /// The bearer's role does not allow it.
+  /// The operator's role does not allow the action.
   Forbidden {
-    /// What is not allowed.
+    /// The action.
     what: String,
   },
-  /// Changes and questions, or several questions, in one script.
+  /// The script mixes changes with other statements, or has several of those.
   Mixed,
-  /// Another team owns the object.
+  /// The object belongs to another team.
   NotOwned {
     /// The object.
     object: ObjectName,
@@ -36,24 +36,24 @@
     /// The operator's team.
     team: Team,
   },
-  /// The script is too long.
+  /// The script exceeds `SCRIPT_BYTES_MAX` or `STATEMENTS_MAX`.
   TooLong,
-  /// A word that does not fit.
+  /// A word does not match the grammar.
   Unexpected {
-    /// Characters before the word, counted from 1.
+    /// The position of the word's first character, counted from 1.
     column: usize,
-    /// What fits.
+    /// What the grammar allows there.
     expected: String,
     /// The word found.
     found: String,
-    /// The nearest word that fits.
+    /// The most similar keyword that is allowed there.
     nearest: Option<String>,
   },
-  /// A name that nothing has.
+  /// No object or box has the name.
   UnknownName {
-    /// The name, with what it should name.
+    /// The kind and the name.
     name: String,
-    /// The nearest name that something has.
+    /// The most similar known name.
     nearest: Option<String>,
   },
 }
--- a/src/language/field.rs
+++ b/src/language/field.rs
@@ -1,27 +1,27 @@
 use super::*;
 
-/// A field of an object with its new value.
+/// A field of an object and the value that a statement gives it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Field {
-  /// Tries of one request at most.
+  /// Limit on attempts of a request.
   Attempts(u32),
-  /// Requests beyond the rate that an organisation may send at once.
+  /// Requests above its rate limit that an organisation may send in a burst.
   Burst(u64),
-  /// Milliseconds that a request may take.
+  /// Timeout of a request in milliseconds.
   DeadlineMs(u64),
   /// A header that a request must carry.
   Header(String, String),
   /// The host that a request must name, or none.
   Host(Option<String>),
-  /// The digest of a key that proves an organisation.
+  /// The digest of an API key that authenticates an organisation.
   KeyDigest(KeyDigest),
   /// The method that a request must use, or any.
   Method(Option<String>),
-  /// A header that a request need not carry any more.
+  /// Removes a header condition.
   NoHeader(String),
-  /// A key that proves an organisation no more.
+  /// Removes an API key.
   NoKeyDigest(KeyDigest),
-  /// A region in which an organisation's requests are not served any more.
+  /// Removes a region from those in which an organisation's requests may be served.
   NoRegion(Region),
   /// The team that may change the object.
   Owner(Team),
@@ -29,22 +29,22 @@
   PathPrefix(String),
   /// The policy of a service.
   Policy(PolicyName),
-  /// The rank of an organisation's requests, or that of their route.
+  /// The priority of an organisation's requests, 0 first; `None` for that of their route.
   Priority(Option<u32>),
-  /// Requests that may wait for a slot.
+  /// Limit on requests that wait for a slot.
   QueueLength(u32),
-  /// Requests a second that an organisation may send, or any number.
+  /// Rate limit of an organisation in requests per second; `None` for no limit.
   Rate(Option<Rate>),
   /// A region in which an organisation's requests may be served.
   Region(Region),
-  /// Whether a request may run more than once.
+  /// Whether a request may be run more than once.
   Repeatable(bool),
   /// The service of a route.
   Service(ServiceName),
 }
 
 impl Field {
-  /// Takes the fields of an object of a kind, up to the end of the statement.
+  /// Reads the fields of an object of `kind` up to the end of the statement.
   pub(super) fn all(kind: Kind, cursor: &mut Cursor) -> Result<Vec<Self>> {
     let mut fields = Vec::new();
     while !cursor.is_finished() {
--- a/src/language/kind.rs
+++ b/src/language/kind.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A kind of objects.
+/// The kinds of objects in a configuration.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Kind {
   /// Drains of boxes.
@@ -16,9 +16,9 @@
 }
 
 impl Kind {
-  /// The kinds that `create` and `set` take.
+  /// The kinds that `create`, `set` and `delete` accept.
   pub(super) const DRAFTED: [&'static str; 4] = ["organisation", "policy", "route", "service"];
-  /// All kinds, in the plural.
+  /// The plural keywords of all kinds, which `show` lists.
   pub(super) const PLURALS: [&'static str; 5] =
     ["drains", "organisations", "policies", "routes", "services"];
 
@@ -32,7 +32,7 @@
     }
   }
 
-  /// The kind in the plural.
+  /// Returns the plural keyword of the kind.
   pub fn plural(self) -> &'static str {
     match self {
       Self::Drain => "drains",
@@ -43,7 +43,7 @@
     }
   }
 
-  /// The kind of an object.
+  /// Returns the kind of the object that `name` names.
   pub fn of_object(name: &ObjectName) -> Self {
     match name {
       ObjectName::Drain(_) => Self::Drain,
@@ -54,7 +54,7 @@
     }
   }
 
-  /// Takes the name of an object of this kind.
+  /// Reads the name of an object of this kind.
   pub(super) fn name(self, cursor: &mut Cursor) -> Result<ObjectName> {
     Ok(match self {
       Self::Drain => ObjectName::Drain(cursor.value("the name of a box")?),
@@ -65,7 +65,7 @@
     })
   }
 
-  /// The fields of this kind.
+  /// Returns the keywords that start a field of this kind.
   pub(super) fn fields(self) -> &'static [&'static str] {
     match self {
       Self::Drain => &[],
--- a/src/language/mod.rs
+++ b/src/language/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' language: statements that change the configuration or ask about the mesh.
+//! The operators' language: statements that change the configuration or query the mesh.
 //!
 //! `docs/operators/language.md` has the grammar.
 
@@ -39,11 +39,11 @@
 mod statement;
 mod word;
 
-/// Result of reading or planning statements.
+/// Result of parsing or planning statements.
 pub type Result<T = (), E = Error> = std::result::Result<T, E>;
 
-/// Largest script in bytes; a whole configuration fits.
+/// Size limit of a script in bytes; a whole configuration fits.
 pub const SCRIPT_BYTES_MAX: usize = 1_200_000;
 
-/// Statements in one script.
+/// Limit on statements in a script.
 pub const STATEMENTS_MAX: usize = 2_000;
--- a/src/language/nearest.rs
+++ b/src/language/nearest.rs
@@ -1,6 +1,7 @@
-//! Finds the known word that a mistyped one may stand for.
+//! Suggestions for mistyped words.
 
-/// The known word nearest to `found`, where one is near enough.
+/// Returns the word of `known` that is most similar to `found`, if its Jaro-Winkler similarity
+/// reaches the minimum.
 pub fn nearest<'a>(found: &str, known: impl Iterator<Item = &'a str>) -> Option<String> {
   const SIMILARITY_MIN: f64 = 0.75;
   let scored = known.map(|word| (strsim::jaro_winkler(found, word), word));
--- a/src/language/plan.rs
+++ b/src/language/plan.rs
@@ -1,30 +1,31 @@
 use super::*;
 
-/// Who states a script.
+/// The operator who submits a script.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Author {
   /// Whether the author may change objects of every team.
   pub is_administrator: bool,
-  /// The author.
+  /// The operator's name.
   pub operator: Operator,
-  /// The author's team.
+  /// The operator's team.
   pub team: Team,
 }
 
-/// Turns changes into steps on one version of the configuration, with the rules of ownership.
+/// Turns the changes of a script into operations on one version of the configuration, and checks
+/// that the author's team owns the objects.
 #[derive(Clone, Debug)]
 pub struct Plan<'a> {
   author: &'a Author,
-  /// Services by the box that serves them, as far as the fleet is known.
+  /// The service of each known box.
   boxes: &'a BTreeMap<BoxId, ServiceName>,
-  /// The steps so far.
+  /// The operations so far.
   steps: Vec<Operation>,
-  /// The configuration after the steps so far, not checked as a whole.
+  /// The configuration after the operations so far, not validated as a whole.
   working: BTreeMap<ObjectName, Object>,
 }
 
 impl<'a> Plan<'a> {
-  /// The steps of a script's changes. `old` gives older versions for `rollback`.
+  /// Returns the operations of a script's changes. `old` holds the versions for `rollback`.
   pub fn steps(
     script: &Script,
     configuration: &Configuration,
--- a/src/language/question.rs
+++ b/src/language/question.rs
@@ -3,42 +3,42 @@
 /// A statement that changes nothing.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Question {
-  /// What became of a change, by its id.
+  /// The result of a change, by its id.
   Change(ChangeId),
-  /// What differs between two versions.
+  /// The difference between two versions.
   Difference(Version, Version),
-  /// Where a request would go.
+  /// The route and the candidates for a request.
   Explain {
-    /// Its headers, by lower-case name.
+    /// The headers, with names in lower case.
     headers: Vec<(String, String)>,
-    /// The host that it names.
+    /// The host, or `-` for any.
     host: String,
-    /// Its method.
+    /// The method.
     method: String,
-    /// Its path.
+    /// The path.
     path: String,
   },
   /// The whole configuration as a document.
   Export,
   /// The boxes of the fleet.
   Fleet,
-  /// The last accepted changes, so many at most.
+  /// The last accepted changes, up to the given number.
   History(u32),
-  /// Who applies a version; the newest one where none is given.
+  /// Which boxes apply a version; the newest version if none is given.
   Rollout(Option<Version>),
-  /// How far a service's move to another version of its software has come.
+  /// The progress of the rollout of a service's software.
   RolloutOf(ServiceName),
-  /// The objects of a kind that have so many fields of certain values.
+  /// The objects of a kind whose fields have all the given values.
   Show(Kind, Vec<(String, String)>),
   /// One object.
   ShowOne(ObjectName),
-  /// What the asked daemon does.
+  /// The status of the daemon that answers.
   Status,
-  /// The requests under which backend servers ended.
+  /// The requests during which backend servers crashed.
   Suspects,
   /// Why a box holds a route.
   WhyBox(BoxId, RouteName),
-  /// What became of a request.
+  /// The recorded steps of a request.
   WhyRequest(RequestId),
 }
 
@@ -46,7 +46,7 @@
   /// The keywords that start a question.
   pub(super) const KEYWORDS: [&'static str; 9] =
     ["difference", "explain", "export", "fleet", "history", "rollout", "show", "status", "why"];
-  /// Changes that `history` shows where no number is given.
+  /// Number of changes that `history` shows by default.
   const HISTORY_DEFAULT: u32 = 20;
 
   pub(super) fn read(keyword: &str, cursor: &mut Cursor) -> Result<Self> {
--- a/src/language/script.rs
+++ b/src/language/script.rs
@@ -1,15 +1,15 @@
 use super::*;
 
-/// What an operator states at once: changes that take effect together, or one question.
+/// A parsed script: changes that take effect together, or one statement of another sort.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Script {
-  /// Whether to show what would change, and change nothing.
+  /// Whether to show the difference without changing anything.
   pub dry_run: bool,
-  /// The version that must be the newest one.
+  /// The version that must be the newest one for the changes to take effect.
   pub only_at: Option<Version>,
-  /// Why.
+  /// The operator's reason for the changes.
   pub reason: Option<String>,
-  /// The statements. Either all of them are changes, or there is one.
+  /// The statements: either changes only, or a single one.
   pub statements: Vec<Statement>,
 }
 
--- a/src/language/statement.rs
+++ b/src/language/statement.rs
@@ -1,29 +1,29 @@
 use super::*;
 
-/// One statement.
+/// A statement of the operators' language.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Statement {
-  /// Lets a request go to backend servers again that is held back.
+  /// Releases a request from the quarantine.
   AllowRequest(Fingerprint),
-  /// Makes the configuration what a document says.
+  /// Replaces the configuration with a document.
   Apply(Document),
-  /// Asks.
+  /// Asks a question; changes nothing.
   Ask(Question),
-  /// Makes a new object.
+  /// Creates an object.
   Create(Draft),
-  /// Removes an object.
+  /// Deletes an object.
   Delete(ObjectName),
-  /// Keeps new work from a box.
+  /// Stops new requests to a box.
   Drain(BoxId),
-  /// Writes the held configuration back to a store that was restored to an older state.
+  /// Writes the daemon's configuration back to a store that was restored to an older state.
   RestoreStore,
-  /// Makes the configuration what it was at a version.
+  /// Replaces the configuration with that of an older version.
   Rollback(Version),
   /// Changes fields of an object.
   Set(Draft),
-  /// Sets which lines the asked daemon logs.
+  /// Sets the log level of the daemon that answers.
   SetLogLevel(LogLevel),
-  /// Lets new work go to a box again.
+  /// Allows new requests to a drained box again.
   Undrain(BoxId),
 }
 
--- a/src/language/word.rs
+++ b/src/language/word.rs
@@ -8,26 +8,26 @@
   token::{any, none_of, take_till, take_while},
 };
 
-/// One word of a script: a bare word, a quoted text, a JSON document, or `;`.
+/// A token of a script: a bare word, a quoted text, a JSON document, or `;`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) struct Word {
-  /// The first character, counted from 1.
+  /// The position of the first character, counted from 1.
   pub(super) column: usize,
-  /// Whether it was written in quotes, and so is no keyword.
+  /// Whether the word is a quoted text or a JSON document, and so never a keyword.
   pub(super) is_quoted: bool,
-  /// The text, without quotes.
+  /// The text; that of a quoted text without its quotes and escapes.
   pub(super) text: String,
 }
 
 type Input<'a> = LocatingSlice<&'a str>;
 
 impl Word {
-  /// Whether this ends a statement.
+  /// Returns whether the word separates statements.
   pub(super) fn is_separator(&self) -> bool {
     !self.is_quoted && self.text == ";"
   }
 
-  /// The words of a script.
+  /// Splits a script into words.
   pub(super) fn all(script: &str) -> Result<Vec<Self>> {
     let mut input = LocatingSlice::new(script);
     let words: ModalResult<Vec<Self>> =
@@ -47,7 +47,7 @@
     }
   }
 
-  /// The text as the language writes it.
+  /// Returns `text` as it is written in a script, in quotes if necessary.
   pub(super) fn written(text: &str) -> String {
     let is_bare = !text.is_empty() && text.chars().all(is_bare_character);
     if is_bare {
@@ -82,8 +82,8 @@
   delimited('"', text, '"').parse_next(input)
 }
 
-/// A JSON object, up to its closing brace. Its pieces are read one after another, not one inside
-/// the other, so that no depth of braces exhausts the stack.
+/// Parses a JSON object up to its closing brace. A loop counts the depth instead of recursion, so
+/// that deeply nested braces do not overflow the stack.
 fn document(input: &mut Input) -> ModalResult<String> {
   let mut text = String::new();
   let mut depth = 0_usize;
@@ -101,7 +101,7 @@
   }
 }
 
-/// A brace, a JSON text with its quotes, or what lies between; only an opening brace at depth 0.
+/// Parses a brace, a JSON string or the text between; at depth 0 only an opening brace.
 fn document_piece<'a>(
   depth: usize,
 ) -> impl Parser<Input<'a>, &'a str, winnow::error::ErrMode<winnow::error::ContextError>> {
@@ -113,7 +113,7 @@
   }
 }
 
-/// A JSON text with its quotes and escapes kept.
+/// Parses a JSON string and keeps its quotes and escapes.
 fn json_text<'a>(input: &mut Input<'a>) -> ModalResult<&'a str> {
   let character = alt((preceded('\\', any).void(), none_of(['"', '\\']).void()));
   let text: winnow::combinator::Repeat<_, _, _, (), _> = repeat(0.., character);
--- a/tests/language.rs
+++ b/tests/language.rs
@@ -1,4 +1,4 @@
-//! The operators' language: what it takes, how it fails, and that it prints what it read.
+//! The operators' language: accepted scripts, error texts, and printing of parsed scripts.
 
 mod support;
 
@@ -8,7 +8,7 @@
   support::histories,
 };
 
-/// Scripts of every kind, as they are printed.
+/// Scripts with every kind of statement, in their printed form.
 const SCRIPTS: [&str; 33] = [
   "create route minutes path /minutes service archive",
   "create route minutes path /minutes service archive host minutes.example method GET repeatable no",
@@ -97,7 +97,7 @@
   assert!(error("").contains("`create`"), "{}", error(""));
 }
 
-/// A known script with a few characters changed, or pieces of several known ones.
+/// Returns a known script with up to four random edits, which may append pieces of other scripts.
 fn near_valid(u: &mut Unstructured) -> Result<String> {
   let mut text: Vec<char> = u.choose(&SCRIPTS)?.chars().collect();
   for _ in 0..u.int_in_range(0..=4)? {
--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -1,4 +1,4 @@
-//! Every statement on the operators' pages is stated to a deployment, in the order of the page.
+//! Runs every statement on the operators' pages on a deployment, in the order of the page.
 
 use {
   ferryyoke::{
@@ -10,7 +10,7 @@
   std::{fs, path::Path, time::Duration},
 };
 
-/// The lines between fences of a kind.
+/// Returns the lines inside the code fences of `kind`.
 fn fenced(page: &str, kind: &str) -> Vec<String> {
   let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("docs/operators").join(page);
   let text = fs::read_to_string(path).expect("a page");
@@ -41,8 +41,8 @@
   Ok(())
 }
 
-/// States a statement. A box beside a busy machine may answer an inquiry too late, which the answer
-/// says; then the question is asked again, as an operator would. Any other answer counts.
+/// Runs a statement. On a busy machine a box may answer too late, and the message then says that it
+/// does not answer; the statement is retried in this case only. Any other answer counts.
 async fn ask(mesh: &Mesh, statement: &str) -> Result<Answer> {
   const TRIES_MAX: usize = 50;
   for _ in 1..TRIES_MAX {
