--- a/crates/ferryyoke-bench/src/fleet_box.rs
+++ b/crates/ferryyoke-bench/src/fleet_box.rs
@@ -81,7 +81,7 @@
   /// States a script to the daemon.
   pub async fn state(&self, text: &str) -> Result<Answer> {
     let request = StatementRequest { change_id: None, text: text.into() };
-    Ok(query::state(self.administration, None, &request).await?)
+    Ok(query::send_script(self.administration, None, &request).await?)
   }
 
   /// Everything that the backend server ran.
--- a/crates/ferryyoke-bench/tests/operators.rs
+++ b/crates/ferryyoke-bench/tests/operators.rs
@@ -171,7 +171,7 @@
     let address = fleet.boxes[0].administration;
     let state = async |token: Option<&str>, text: &str| {
       let request = StatementRequest { change_id: None, text: text.into() };
-      query::state(address, token, &request).await.map_err(Error::Ask)
+      query::send_script(address, token, &request).await.map_err(Error::Ask)
     };
     while fleet.boxes[0].scrape().await.is_err()
       || state(Some("a reader's token"), "export").await?.document.is_none()
--- a/src/administration/answer.rs
+++ b/src/administration/answer.rs
@@ -42,17 +42,17 @@
 
   /// Returns this answer with `version` set.
   #[must_use]
-  pub fn at(self, version: Version) -> Self {
+  pub fn with_version(self, version: Version) -> Self {
     Self { version: Some(version), ..self }
   }
 
   /// Returns the answer as JSON, with each row as an object.
-  pub fn json(&self) -> serde_json::Value {
+  pub fn to_json(&self) -> serde_json::Value {
     serde_json::json!({
       "document": self.document,
       "message": self.message,
       "outcome": self.outcome,
-      "rows": self.table.objects(),
+      "rows": self.table.to_objects(),
       "version": self.version,
     })
   }
--- a/src/administration/changes.rs
+++ b/src/administration/changes.rs
@@ -3,29 +3,29 @@
 use super::*;
 
 /// Time in milliseconds until the retries of a change end.
-const PATIENCE_MS: u64 = 5_000;
+const RETRY_LIMIT_MS: u64 = 5_000;
 
 /// Number of older snapshots, and of archives, that are kept for rollbacks.
 const SNAPSHOTS_KEPT: usize = 8;
 
 /// Applies the changes of a script as one new version. A dry run only shows the difference.
-pub async fn make(
+pub async fn apply(
   node: &Rc<Node>,
-  bearer: &Bearer,
+  principal: &Principal,
   script: &Script,
   request: StatementRequest,
 ) -> Result<Answer> {
   let shared = &node.shared;
-  let held = shared.configuration().ok_or(Error::NoConfiguration)?;
-  let old = recall::versions(node, script).await?;
-  let boxes = boxes(node);
-  let author = bearer.author();
-  let operations = Plan::steps(script, &held, &author, &boxes, &old)?;
+  let current = shared.configuration().ok_or(Error::NoConfiguration)?;
+  let old = stored_versions::load_rollback_targets(node, script).await?;
+  let services = services_by_box(node);
+  let author = principal.author();
+  let operations = Plan::operations(script, &current, &author, &services, &old)?;
   if operations.is_empty() {
-    return Ok(Answer::done("nothing to change").at(held.version));
+    return Ok(Answer::done("nothing to change").with_version(current.version));
   }
   let change = Change {
-    base: held.version,
+    base: current.version,
     id: request.change_id.unwrap_or_else(|| shared.names.change_id()),
     only_at: script.only_at,
     operations,
@@ -36,44 +36,44 @@
     unix_ms: shared.now().unix_ms,
   };
   if script.dry_run {
-    return dry_run(node, &held, &change);
+    return dry_run(node, &current, &change);
   }
-  accept(node, held, change).await
+  accept(node, current, change).await
 }
 
 /// Returns the service of each box.
-fn boxes(node: &Node) -> BTreeMap<BoxId, ServiceName> {
+fn services_by_box(node: &Node) -> BTreeMap<BoxId, ServiceName> {
   let distributor = node.distribution.distributor();
   let endpoints = distributor.endpoints().iter();
   endpoints.map(|one| (one.peer.box_id.clone(), one.service.clone())).collect()
 }
 
 /// Checks a change without making it; answers with the difference and the number of affected boxes.
-fn dry_run(node: &Node, held: &Configuration, change: &Change) -> Result<Answer> {
-  let accepted = held.accept(change, &[]);
-  let accepted = accepted.map_err(|err| Error::Change(err.into()))?;
-  let next = held.apply(&accepted).map_err(|err| Error::Change(err.into()))?;
+fn dry_run(node: &Node, current: &Configuration, change: &Change) -> Result<Answer> {
+  let accepted = current.accept(change, &[]);
+  let accepted = accepted.map_err(|err| Error::ChangeRefused(err.into()))?;
+  let next = current.apply(&accepted).map_err(|err| Error::ChangeRefused(err.into()))?;
   let boxes = node.distribution.distributor().endpoints().present().count();
   let message = format!(
     "nothing was changed; the change holds on version {} and would concern {boxes} boxes",
-    held.version
+    current.version
   );
-  Ok(Answer::table(message, questions::difference(held, &next)).at(held.version))
+  Ok(Answer::table(message, questions::difference(current, &next)).with_version(current.version))
 }
 
-async fn accept(node: &Rc<Node>, held: Arc<Configuration>, change: Change) -> Result<Answer> {
+async fn accept(node: &Rc<Node>, current: Arc<Configuration>, change: Change) -> Result<Answer> {
   let shared = &node.shared;
   let id = change.id.clone();
-  let deadline = shared.now().time.after(PATIENCE_MS);
-  let acceptance = Acceptance::new(change, Some(held), deadline, shared.make_seed());
-  match drive(shared, acceptance).await {
+  let deadline = shared.now().time.after(RETRY_LIMIT_MS);
+  let acceptance = Acceptance::new(change, Some(current), deadline, shared.make_seed());
+  match run(shared, acceptance).await {
     Outcome::Accepted { version } => {
       node.distribution.handle(Event::Accepted { version });
       info!(shared.log.logger, "a change was accepted"; "version" => version.0);
       prune(shared);
-      Ok(Answer::done(format!("accepted as version {version} (change {id})")).at(version))
+      Ok(Answer::done(format!("accepted as version {version} (change {id})")).with_version(version))
     }
-    Outcome::Refused(refused) => Err(Error::Change(refused)),
+    Outcome::Refused(refused) => Err(Error::ChangeRefused(refused)),
     Outcome::Unknown { reason } => Ok(Answer::unknown(format!(
       "unknown whether the change took effect ({reason}); ask `show change {id}`, or state it again \
        with --change-id {id}"
@@ -82,7 +82,7 @@
 }
 
 /// Runs the steps of an acceptance until it ends.
-async fn drive(shared: &Shared, mut acceptance: Acceptance) -> Outcome {
+async fn run(shared: &Shared, mut acceptance: Acceptance) -> Outcome {
   let mut step = acceptance.resume();
   loop {
     step = match step {
@@ -111,7 +111,7 @@
 }
 
 async fn remove_old(shared: &Shared) -> Result {
-  let Some((head, _)) = recall::head(shared).await? else {
+  let Some((head, _)) = stored_versions::read_head(shared).await? else {
     return Ok(());
   };
   // Old snapshots become surplus only when a change stores a new one.
@@ -119,13 +119,13 @@
     return Ok(());
   }
   let newest = keys::snapshot(head.snapshot_version, &head.snapshot_digest);
-  let snapshots = recall::keys_under(shared, keys::snapshots()).await?;
+  let snapshots = stored_versions::list_entries(shared, keys::snapshots()).await?;
   let older: Vec<&Entry> = snapshots.iter().filter(|entry| entry.key < newest).collect();
   let surplus = older.len().saturating_sub(SNAPSHOTS_KEPT);
   for entry in &older[..surplus] {
     shared.call_store(StoreRequest::Delete { key: entry.key.clone() }).await?;
   }
-  let archives = recall::keys_under(shared, keys::archives()).await?;
+  let archives = stored_versions::list_entries(shared, keys::archives()).await?;
   let surplus = archives.len().saturating_sub(SNAPSHOTS_KEPT);
   for entry in &archives[..surplus] {
     shared.call_store(StoreRequest::Delete { key: entry.key.clone() }).await?;
@@ -136,16 +136,18 @@
 /// Writes this box's configuration back to a store that holds an older version or none.
 pub async fn restore_store(node: &Rc<Node>) -> Result<Answer> {
   let shared = &node.shared;
-  let held = shared.configuration().ok_or(Error::NoConfiguration)?;
-  check_newest(node, &held).await?;
-  let known = recall::head(shared).await?;
-  if known.as_ref().is_some_and(|(head, _)| head.version >= held.version) {
-    return Ok(Answer::done("the store holds the newest version already").at(held.version));
+  let current = shared.configuration().ok_or(Error::NoConfiguration)?;
+  check_newest(node, &current).await?;
+  let known = stored_versions::read_head(shared).await?;
+  if known.as_ref().is_some_and(|(head, _)| head.version >= current.version) {
+    return Ok(
+      Answer::done("the store holds the newest version already").with_version(current.version),
+    );
   }
   let history = node.distribution.distributor().catalog().history().to_vec();
-  let digest = held.digest();
-  let key = keys::snapshot(held.version, &digest);
-  let value = held.encode();
+  let digest = current.digest();
+  let key = keys::snapshot(current.version, &digest);
+  let value = current.encode();
   let written = shared.call_store(StoreRequest::Create { key, lease: None, value }).await;
   if !matches!(written, Ok(_) | Err(store::Error::Refused(store::Refusal::Exists))) {
     written?;
@@ -153,9 +155,9 @@
   let head = Head {
     history,
     snapshot_digest: digest,
-    snapshot_version: held.version,
+    snapshot_version: current.version,
     tail: Vec::new(),
-    version: held.version,
+    version: current.version,
   };
   let value = to_json(&head);
   let key = keys::head();
@@ -164,21 +166,21 @@
     None => StoreRequest::Create { key, lease: None, value },
   };
   shared.call_store(request).await?;
-  let message = format!("the store holds version {} again", held.version);
-  Ok(Answer::done(message).at(held.version))
+  let message = format!("the store holds version {} again", current.version);
+  Ok(Answer::done(message).with_version(current.version))
 }
 
 /// Fails if another box holds a newer version: only the newest one may be written back.
-async fn check_newest(node: &Rc<Node>, held: &Configuration) -> Result {
-  let inquired = node.distribution.ask(FleetQuestion::Rollout).await;
-  let newer = inquired.reports.iter().find_map(|report| match report {
-    Report::Applied { box_id, version: Some(version), .. } if *version > held.version => {
+async fn check_newest(node: &Rc<Node>, current: &Configuration) -> Result {
+  let replies = node.distribution.ask(FleetQuestion::Rollout).await;
+  let newer = replies.reports.iter().find_map(|report| match report {
+    Report::Applied { box_id, version: Some(version), .. } if *version > current.version => {
       Some((box_id, version))
     }
     _ => None,
   });
   match newer {
-    Some((box_id, version)) => Err(Error::Unknown {
+    Some((box_id, version)) => Err(Error::NotFound {
       what: format!("box {box_id} holds version {version}, which is newer: state it there"),
     }),
     None => Ok(()),
--- a/src/administration/error.rs
+++ b/src/administration/error.rs
@@ -3,28 +3,28 @@
 /// The error of a statement that was refused; it changed nothing.
 #[derive(Debug)]
 pub enum Error {
+  /// Too many statements run at once.
+  Busy,
+  /// The change was refused, for example because of a conflict.
+  ChangeRefused(crate::distribution::RefusalReason),
   /// The HTTP request is malformed.
-  Call {
+  MalformedRequest {
     /// What is malformed.
     reason: String,
   },
-  /// Too many statements run at once.
-  Busy,
-  /// The change was refused, for example because of a conflict.
-  Change(crate::distribution::RefusalReason),
-  /// The script is invalid or not allowed.
-  Language(language::Error),
   /// This box holds no configuration yet.
   NoConfiguration,
+  /// The subject of the statement is unknown or cannot be used.
+  NotFound {
+    /// The subject, and the reason.
+    what: String,
+  },
+  /// The script is invalid or not allowed.
+  Script(language::Error),
   /// The call of the store failed.
   Store(store::Error),
   /// The request has no valid token.
   Unauthorized,
-  /// The subject of the statement is unknown.
-  Unknown {
-    /// What is unknown, and why.
-    what: String,
-  },
 }
 
 impl Error {
@@ -32,15 +32,15 @@
   pub fn status(&self) -> StatusCode {
     match self {
       Self::Busy => StatusCode::TOO_MANY_REQUESTS,
-      Self::Call { .. } => StatusCode::BAD_REQUEST,
-      Self::Change(_) => StatusCode::CONFLICT,
-      Self::Language(language::Error::Forbidden { .. } | language::Error::NotOwned { .. }) => {
+      Self::MalformedRequest { .. } => StatusCode::BAD_REQUEST,
+      Self::ChangeRefused(_) => StatusCode::CONFLICT,
+      Self::Script(language::Error::Forbidden { .. } | language::Error::NotOwned { .. }) => {
         StatusCode::FORBIDDEN
       }
-      Self::Language(_) => StatusCode::UNPROCESSABLE_ENTITY,
+      Self::Script(_) => StatusCode::UNPROCESSABLE_ENTITY,
       Self::NoConfiguration | Self::Store(_) => StatusCode::SERVICE_UNAVAILABLE,
       Self::Unauthorized => StatusCode::UNAUTHORIZED,
-      Self::Unknown { .. } => StatusCode::NOT_FOUND,
+      Self::NotFound { .. } => StatusCode::NOT_FOUND,
     }
   }
 }
@@ -49,9 +49,9 @@
   fn fmt(&self, f: &mut Formatter) -> fmt::Result {
     match self {
       Self::Busy => write!(f, "this daemon has many statements at work: try again in a second"),
-      Self::Call { reason } => write!(f, "the call is malformed: {reason}"),
-      Self::Change(refused) => refused.fmt(f),
-      Self::Language(err) => err.fmt(f),
+      Self::MalformedRequest { reason } => write!(f, "the call is malformed: {reason}"),
+      Self::ChangeRefused(refused) => refused.fmt(f),
+      Self::Script(err) => err.fmt(f),
       Self::NoConfiguration => {
         write!(f, "this box holds no configuration yet: ask another box, or try again in a second")
       }
@@ -59,7 +59,7 @@
       Self::Unauthorized => {
         write!(f, "no valid token: give one in FERRYYOKE_TOKEN or with --token-file")
       }
-      Self::Unknown { what } => f.write_str(what),
+      Self::NotFound { what } => f.write_str(what),
     }
   }
 }
@@ -68,7 +68,7 @@
 
 impl From<language::Error> for Error {
   fn from(err: language::Error) -> Self {
-    Self::Language(err)
+    Self::Script(err)
   }
 }
 
--- a/src/administration/mod.rs
+++ b/src/administration/mod.rs
@@ -17,19 +17,19 @@
 };
 
 pub use self::{
-  answer::Answer, answer_outcome::AnswerOutcome, bearer::Bearer, error::Error, serve::serve,
+  answer::Answer, answer_outcome::AnswerOutcome, error::Error, principal::Principal, serve::serve,
   statement_request::StatementRequest, table::Table,
 };
 
 mod answer;
 mod answer_outcome;
-mod bearer;
 mod changes;
 mod error;
+mod principal;
 mod questions;
-mod recall;
 mod serve;
 mod statement_request;
+mod stored_versions;
 mod table;
 mod why;
 
--- a/src/administration/bearer.rs
+++ b/src/administration/principal.rs
@@ -2,7 +2,7 @@
 
 /// The authenticated user of the administration API.
 #[derive(Clone, Debug)]
-pub struct Bearer {
+pub struct Principal {
   /// The operator's name.
   pub operator: Operator,
   /// The role, which decides what is allowed.
@@ -11,11 +11,11 @@
   pub team: Team,
 }
 
-impl Bearer {
+impl Principal {
   /// Identifies the user by the bearer token in `headers`; fails with `Unauthorized` if it is
   /// missing or unknown. Without tokens in the settings, the API listens on loopback only and every
   /// user of the box is an administrator.
-  pub fn of(shared: &Shared, headers: &HeaderMap) -> Result<Self> {
+  pub fn authenticate(shared: &Shared, headers: &HeaderMap) -> Result<Self> {
     let tokens = &shared.settings.tokens;
     if tokens.is_empty() {
       return Ok(Self::local());
--- a/src/administration/questions.rs
+++ b/src/administration/questions.rs
@@ -9,9 +9,9 @@
   match question {
     Question::Change(id) => change(node, id).await,
     Question::Difference(from, to) => {
-      let from = recall::version_of(&node.shared, *from).await?;
-      let to = recall::version_of(&node.shared, *to).await?;
-      Ok(Answer::table("", difference(&from, &to)).at(to.version))
+      let from = stored_versions::load(&node.shared, *from).await?;
+      let to = stored_versions::load(&node.shared, *to).await?;
+      Ok(Answer::table("", difference(&from, &to)).with_version(to.version))
     }
     Question::Explain { headers, host, method, path } => {
       why::explain(node, method, host, path, headers)
@@ -19,43 +19,42 @@
     Question::Export => {
       let held = node.shared.configuration().ok_or(Error::NoConfiguration)?;
       let document = serde_json::to_value(Document::of(&held)).expect("plain data");
-      Ok(Answer { document: Some(document), ..Answer::done("") }.at(held.version))
+      Ok(Answer { document: Some(document), ..Answer::done("") }.with_version(held.version))
     }
     Question::Fleet => Ok(fleet(node).await),
     Question::History(count) => Ok(history(node, *count)),
-    Question::Rollout(version) => rollout(node, *version).await,
-    Question::RolloutOf(service) => rollout_of(node, service),
+    Question::Rollout(version) => configuration_rollout(node, *version).await,
+    Question::SoftwareRollout(service) => software_rollout(node, service),
     Question::Show(kind, filters) => show(node, *kind, filters),
-    Question::ShowOne(name) => show_one(node, name),
+    Question::ShowObject(name) => show_object(node, name),
     Question::Status => Ok(status(node)),
     Question::Suspects => Ok(suspects(node)),
-    Question::WhyBox(box_id, route) => why::box_holds(node, box_id, route).await,
+    Question::WhyBox(box_id, route) => why::route_on_box(node, box_id, route).await,
     Question::WhyRequest(id) => why::request(node, id).await,
   }
 }
 
 /// Shows the progress of a service's software rollout, with counts of answers by version and
 /// route.
-fn rollout_of(node: &Node, service: &ServiceName) -> Result<Answer> {
+fn software_rollout(node: &Node, service: &ServiceName) -> Result<Answer> {
   let now = node.shared.now().time;
   let distributor = node.distribution.distributor();
   let known = distributor.rollout(service).and_then(|known| known.record().zip(Some(known)));
   let Some((record, rollout)) = known else {
-    return Err(Error::Unknown { what: format!("no roll-out of service {service} is known") });
+    return Err(Error::NotFound { what: format!("no roll-out of service {service} is known") });
   };
   let mut table = Table::new(&["version", "route", "answers", "failed", "mean_power_of_2_ms"]);
   for version in record.base.iter().chain([&record.order.target]) {
     for (route, seen) in rollout.tallies(now, version) {
       let mean = format!("{:.1}", seen.mean_power());
       let (answers, failed) = (json!(seen.answers), json!(seen.failures));
-      table.add([json!(version.as_str()), json!(route.as_str()), answers, failed, json!(mean)]);
+      table.add_row([json!(version.as_str()), json!(route.as_str()), answers, failed, json!(mean)]);
     }
   }
   let base = record.base.as_ref().map_or("no version", SoftwareVersion::as_str);
-  let held_up_by =
-    rollout.blocked_by().map_or(String::new(), |why| format!("; not further: {why}"));
+  let blocker = rollout.blocked_by().map_or(String::new(), |why| format!("; not further: {why}"));
   let message = format!(
-    "{base} to {}, step {} by {}, {} of {} ms after its order: {}{held_up_by}",
+    "{base} to {}, step {} by {}, {} of {} ms after its order: {}{blocker}",
     record.order.target,
     record.step,
     record.decider,
@@ -69,7 +68,7 @@
 /// Looks up an accepted change. The store's history is authoritative; the local copy serves while
 /// the store does not answer.
 async fn change(node: &Node, id: &ChangeId) -> Result<Answer> {
-  let asked = recall::head(&node.shared).await;
+  let asked = stored_versions::read_head(&node.shared).await;
   let from_store = asked.as_ref().ok().and_then(Option::as_ref);
   let held = node.distribution.distributor().catalog().history().to_vec();
   let history = from_store.map_or(&held, |(head, _)| &head.history);
@@ -77,13 +76,13 @@
     let mut table = summaries_table();
     add_summary(&mut table, summary);
     let message = format!("accepted as version {}", summary.version);
-    return Ok(Answer::table(message, table).at(summary.version));
+    return Ok(Answer::table(message, table).with_version(summary.version));
   }
   if let Err(err) = asked {
     return Ok(Answer::unknown(format!("unknown: {err}; ask again once the store answers")));
   }
   let what = format!("no accepted change has the id {id} among the last {}", Head::HISTORY_MAX);
-  Err(Error::Unknown { what })
+  Err(Error::NotFound { what })
 }
 
 /// Returns the objects that differ between two configurations.
@@ -102,7 +101,7 @@
       _ => "changed",
     };
     let shown = |object: &Option<Object>| object.as_ref().map_or(Value::Null, fields_text);
-    table.add([json!(name.to_string()), json!(kind), shown(&old), shown(&new)]);
+    table.add_row([json!(name.to_string()), json!(kind), shown(&old), shown(&new)]);
   }
   table
 }
@@ -145,7 +144,7 @@
 
 fn add_summary(table: &mut Table, summary: &Summary) {
   let touched: Vec<String> = summary.touched.iter().map(ToString::to_string).collect();
-  table.add([
+  table.add_row([
     json!(summary.version),
     json!(summary.id),
     json!(summary.operator),
@@ -173,16 +172,16 @@
     let Some(object) = held.object(&name) else {
       continue;
     };
-    if passes(&object, filters) {
+    if matches_filters(&object, filters) {
       let bare = name.to_string();
       let bare = bare.split_once(' ').map_or(bare.as_str(), |(_, name)| name);
-      table.add([json!(bare), json!(held.revision(&name)), fields_text(&object)]);
+      table.add_row([json!(bare), json!(held.revision(&name)), fields_text(&object)]);
     }
   }
-  Ok(Answer::table("", table).at(held.version))
+  Ok(Answer::table("", table).with_version(held.version))
 }
 
-fn passes(object: &Object, filters: &[(String, String)]) -> bool {
+fn matches_filters(object: &Object, filters: &[(String, String)]) -> bool {
   let fields = fields(object);
   filters.iter().all(|(field, wanted)| match fields.get(field) {
     Some(Value::String(text)) => text == wanted,
@@ -191,17 +190,17 @@
   })
 }
 
-fn show_one(node: &Node, name: &ObjectName) -> Result<Answer> {
+fn show_object(node: &Node, name: &ObjectName) -> Result<Answer> {
   let held = node.shared.configuration().ok_or(Error::NoConfiguration)?;
   let unknown =
-    || Error::Unknown { what: format!("there is no {name} in version {}", held.version) };
+    || Error::NotFound { what: format!("there is no {name} in version {}", held.version) };
   let object = held.object(name).ok_or_else(unknown)?;
   let mut table = Table::new(&["field", "value"]);
   for (field, value) in fields(&object) {
-    table.add([json!(field), value]);
+    table.add_row([json!(field), value]);
   }
-  table.add([json!("revision"), json!(held.revision(name))]);
-  Ok(Answer::table("", table).at(held.version))
+  table.add_row([json!("revision"), json!(held.revision(name))]);
+  Ok(Answer::table("", table).with_version(held.version))
 }
 
 fn status(node: &Node) -> Answer {
@@ -210,12 +209,12 @@
   let mut table = Table::new(&["field", "value"]);
   if let Ok(Value::Object(fields)) = serde_json::to_value(&status) {
     for (field, value) in fields.into_iter().filter(|(field, _)| field != "relays") {
-      table.add([json!(field), value]);
+      table.add_row([json!(field), value]);
     }
   }
-  table.add([json!("box"), json!(node.shared.settings.box_id)]);
-  table.add([json!("requests_running"), json!(limiter.running())]);
-  table.add([json!("requests_waiting"), json!(limiter.waiting())]);
+  table.add_row([json!("box"), json!(node.shared.settings.box_id)]);
+  table.add_row([json!("requests_running"), json!(limiter.running())]);
+  table.add_row([json!("requests_waiting"), json!(limiter.waiting())]);
   Answer::table("", table)
 }
 
@@ -230,7 +229,7 @@
   for (fingerprint, suspect) in suspects {
     let boxes: Vec<String> = suspect.boxes.iter().map(ToString::to_string).collect();
     let standing = quarantine.status(now, fingerprint).to_string();
-    table.add([
+    table.add_row([
       json!(fingerprint.to_string()),
       json!(suspect.crashes),
       json!(now.since_ms(suspect.last_crash_at)),
@@ -244,12 +243,12 @@
 /// Asks the fleet which version each box applies. Returns, by box, the version, its time of
 /// application in Unix milliseconds and the last refusal; and the number of neighbours that did not
 /// answer.
-async fn applied(
+async fn query_applied_versions(
   node: &Rc<Node>,
 ) -> (BTreeMap<BoxId, (Option<Version>, u64, Option<String>)>, usize) {
-  let inquired = node.distribution.ask(FleetQuestion::Rollout).await;
+  let replies = node.distribution.ask(FleetQuestion::Rollout).await;
   let mut boxes = BTreeMap::new();
-  for report in inquired.reports {
+  for report in replies.reports {
     if let Report::Applied { box_id, refusal, unix_ms, version } = report {
       let known: Option<&(Option<Version>, u64, Option<String>)> = boxes.get(&box_id);
       if known.is_none_or(|(known, ..)| *known < version) {
@@ -257,13 +256,13 @@
       }
     }
   }
-  (boxes, inquired.missing)
+  (boxes, replies.missing)
 }
 
-async fn rollout(node: &Rc<Node>, version: Option<Version>) -> Result<Answer> {
+async fn configuration_rollout(node: &Rc<Node>, version: Option<Version>) -> Result<Answer> {
   let held = node.shared.configuration().ok_or(Error::NoConfiguration)?;
   let version = version.unwrap_or(held.version);
-  let (boxes, missing) = applied(node).await;
+  let (boxes, missing) = query_applied_versions(node).await;
   let endpoints: Vec<Endpoint> =
     node.distribution.distributor().endpoints().present().cloned().collect();
   let mut table = Table::new(&["box", "data_hall", "applies", "version", "unix_ms", "why"]);
@@ -278,7 +277,7 @@
       Some(_) if applies => String::new(),
       Some(_) => "on its way".into(),
     };
-    table.add([
+    table.add_row([
       json!(endpoint.peer.box_id),
       json!(endpoint.peer.data_hall),
       json!(if applies { "yes" } else { "no" }),
@@ -292,11 +291,11 @@
   if missing > 0 {
     message = format!("{message}; {missing} neighbours did not answer in time");
   }
-  Ok(Answer::table(message, table).at(version))
+  Ok(Answer::table(message, table).with_version(version))
 }
 
 async fn fleet(node: &Rc<Node>) -> Answer {
-  let (boxes, _) = applied(node).await;
+  let (boxes, _) = query_applied_versions(node).await;
   let distributor = node.distribution.distributor();
   let relays = distributor.status().relays;
   let mut table = Table::new(&[
@@ -313,7 +312,7 @@
   for endpoint in distributor.endpoints().iter() {
     let box_id = &endpoint.peer.box_id;
     let found = boxes.get(box_id);
-    table.add([
+    table.add_row([
       json!(box_id),
       json!(endpoint.peer.data_hall),
       json!(endpoint.region),
--- a/src/administration/serve.rs
+++ b/src/administration/serve.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// Limit on statements that run at once.
-const AT_WORK_MAX: usize = 32;
+const RUNNING_MAX: usize = 32;
 
 /// Serves an HTTP request of the administration API.
 pub async fn serve(node: Rc<Node>, request: Request<Incoming>) -> Response<AnyBody> {
@@ -30,8 +30,8 @@
 }
 
 async fn statements(node: &Rc<Node>, request: Request<Incoming>) -> Response<AnyBody> {
-  let answer = match AtWork::start(node) {
-    Some(_at_work) => answer(node, request).await,
+  let answer = match RunningStatement::start(node) {
+    Some(_running) => answer(node, request).await,
     None => Err(Error::Busy),
   };
   match answer {
@@ -45,52 +45,52 @@
 
 async fn answer(node: &Rc<Node>, request: Request<Incoming>) -> Result<Answer> {
   let (head, body) = request.into_parts();
-  let bearer = Bearer::of(&node.shared, &head.headers)?;
+  let principal = Principal::authenticate(&node.shared, &head.headers)?;
   let body = web::collect(body, 2 * language::SCRIPT_BYTES_MAX).await;
-  let body = body.map_err(|err| Error::Call { reason: err.to_string() })?;
-  let request: StatementRequest =
-    serde_json::from_slice(&body).map_err(|err| Error::Call { reason: err.to_string() })?;
+  let body = body.map_err(|err| Error::MalformedRequest { reason: err.to_string() })?;
+  let request: StatementRequest = serde_json::from_slice(&body)
+    .map_err(|err| Error::MalformedRequest { reason: err.to_string() })?;
   let script: Script = request.text.parse()?;
   match &script.statements[..] {
     [Statement::Ask(question)] => questions::answer(node, question).await,
     [Statement::AllowRequest(fingerprint)] => {
-      bearer.check(Role::Editor, "allow a request that is held back")?;
+      principal.check(Role::Editor, "allow a request that is held back")?;
       node.shared.allow_request(*fingerprint);
       Ok(Answer::done(format!("the fleet is told that request {fingerprint} may run")))
     }
     [Statement::RestoreStore] => {
-      bearer.check(Role::Administrator, "restore the store")?;
+      principal.check(Role::Administrator, "restore the store")?;
       changes::restore_store(node).await
     }
     [Statement::SetLogLevel(level)] => {
-      bearer.check(Role::Administrator, "set the log level")?;
+      principal.check(Role::Administrator, "set the log level")?;
       node.shared.log.set_level(*level);
       Ok(Answer::done(format!("the log level is {level}")))
     }
     _ => {
-      bearer.check(Role::Editor, "change the configuration")?;
-      changes::make(node, &bearer, &script, request).await
+      principal.check(Role::Editor, "change the configuration")?;
+      changes::apply(node, &principal, &script, request).await
     }
   }
 }
 
 /// Counts a running statement until it is dropped.
-struct AtWork(Rc<Node>);
+struct RunningStatement(Rc<Node>);
 
-impl AtWork {
+impl RunningStatement {
   fn start(node: &Rc<Node>) -> Option<Self> {
-    let at_work = &node.shared.statements_at_work;
-    if at_work.get() >= AT_WORK_MAX {
+    let running = &node.shared.statements_at_work;
+    if running.get() >= RUNNING_MAX {
       return None;
     }
-    at_work.set(at_work.get() + 1);
+    running.set(running.get() + 1);
     Some(Self(node.clone()))
   }
 }
 
-impl Drop for AtWork {
+impl Drop for RunningStatement {
   fn drop(&mut self) {
-    let at_work = &self.0.shared.statements_at_work;
-    at_work.set(at_work.get() - 1);
+    let running = &self.0.shared.statements_at_work;
+    running.set(running.get() - 1);
   }
 }
--- a/src/administration/recall.rs
+++ b/src/administration/stored_versions.rs
@@ -5,59 +5,59 @@
 use crate::store::{Key, Revision};
 
 /// Reads the store's head and its revision; `None` if the store has no head.
-pub async fn head(shared: &Shared) -> Result<Option<(Head, Revision)>> {
-  let Some(entry) = read(shared, keys::head()).await? else {
+pub async fn read_head(shared: &Shared) -> Result<Option<(Head, Revision)>> {
+  let Some(entry) = read_entry(shared, keys::head()).await? else {
     return Ok(None);
   };
-  let head = entry.value.decode().map_err(|_| unreadable(&entry.key))?;
+  let head = entry.value.decode().map_err(|_| unreadable_value(&entry.key))?;
   Ok(Some((head, entry.revision)))
 }
 
 /// Reads the entries under a prefix, in the order of their keys.
-pub async fn keys_under(shared: &Shared, prefix: Key) -> Result<Vec<Entry>> {
+pub async fn list_entries(shared: &Shared, prefix: Key) -> Result<Vec<Entry>> {
   match shared.call_store(StoreRequest::List { prefix }).await? {
     Reply::Entries { entries, .. } => Ok(entries),
     _ => Ok(Vec::new()),
   }
 }
 
-async fn read(shared: &Shared, key: Key) -> Result<Option<Entry>> {
+async fn read_entry(shared: &Shared, key: Key) -> Result<Option<Entry>> {
   match shared.call_store(StoreRequest::Read { key }).await? {
     Reply::Entry { entry, .. } => Ok(entry),
     _ => Ok(None),
   }
 }
 
-fn unreadable(key: &Key) -> Error {
-  Error::Unknown { what: format!("the value of {key} cannot be read: repair it in the store") }
+fn unreadable_value(key: &Key) -> Error {
+  Error::NotFound { what: format!("the value of {key} cannot be read: repair it in the store") }
 }
 
 /// Loads the versions that the rollbacks of a script name.
-pub async fn versions(
+pub async fn load_rollback_targets(
   node: &Node,
   script: &Script,
 ) -> Result<BTreeMap<Version, Arc<Configuration>>> {
   let mut found = BTreeMap::new();
   for statement in &script.statements {
     if let Statement::Rollback(version) = statement {
-      found.insert(*version, version_of(&node.shared, *version).await?);
+      found.insert(*version, load(&node.shared, *version).await?);
     }
   }
   Ok(found)
 }
 
 /// Loads a version, from this box or from the snapshots and archives in the store. Fails with
-/// `Unknown` if the version is no longer kept.
-pub async fn version_of(shared: &Shared, wanted: Version) -> Result<Arc<Configuration>> {
+/// `NotFound` if the version is no longer kept.
+pub async fn load(shared: &Shared, wanted: Version) -> Result<Arc<Configuration>> {
   if let Some(held) = shared.configuration().filter(|held| held.version == wanted) {
     return Ok(held);
   }
-  let gone = || Error::Unknown {
+  let not_kept = || Error::NotFound {
     what: format!("version {wanted} is not kept any more, or never was: see `history`"),
   };
-  let (head, _) = head(shared).await?.ok_or_else(gone)?;
+  let (head, _) = read_head(shared).await?.ok_or_else(not_kept)?;
   if wanted > head.version {
-    return Err(gone());
+    return Err(not_kept());
   }
   let archive = if wanted >= head.snapshot_version {
     Archive {
@@ -66,18 +66,18 @@
       tail: head.since_snapshot().cloned().collect(),
     }
   } else {
-    let archives = keys_under(shared, keys::archives()).await?;
+    let archives = list_entries(shared, keys::archives()).await?;
     let decoded = archives.iter().filter_map(|entry| entry.value.decode().ok());
     let covers =
       |archive: &Archive| archive.snapshot_version <= wanted && wanted <= archive.version();
-    decoded.into_iter().find(covers).ok_or_else(gone)?
+    decoded.into_iter().find(covers).ok_or_else(not_kept)?
   };
   let key = keys::snapshot(archive.snapshot_version, &archive.snapshot_digest);
-  let entry = read(shared, key).await?.ok_or_else(gone)?;
+  let entry = read_entry(shared, key).await?.ok_or_else(not_kept)?;
   let mut configuration: Configuration =
-    entry.value.decode().map_err(|_| unreadable(&entry.key))?;
+    entry.value.decode().map_err(|_| unreadable_value(&entry.key))?;
   for change in archive.tail.iter().filter(|change| change.version() <= wanted) {
-    configuration = configuration.apply(change).map_err(|_| unreadable(&entry.key))?;
+    configuration = configuration.apply(change).map_err(|_| unreadable_value(&entry.key))?;
   }
   Ok(Arc::new(configuration))
 }
--- a/src/administration/table.rs
+++ b/src/administration/table.rs
@@ -18,13 +18,13 @@
   }
 
   /// Adds a row.
-  pub fn add<const N: usize>(&mut self, row: [Value; N]) {
+  pub fn add_row<const N: usize>(&mut self, row: [Value; N]) {
     debug_assert_eq!(N, self.columns.len());
     self.rows.push(row.into());
   }
 
   /// Returns each row as a JSON object with the columns as keys.
-  pub fn objects(&self) -> Vec<Value> {
+  pub fn to_objects(&self) -> Vec<Value> {
     let object = |row: &Vec<Value>| {
       let fields = self.columns.iter().cloned().zip(row.iter().cloned());
       Value::Object(fields.collect())
--- a/src/commands/error.rs
+++ b/src/commands/error.rs
@@ -21,7 +21,7 @@
   /// The settings are invalid.
   Settings(settings::Error),
   /// The command exceeded its timeout.
-  TimeUp,
+  Timeout,
 }
 
 impl Error {
@@ -43,7 +43,7 @@
       ),
       Self::Refused => write!(f, "the statement did not succeed"),
       Self::Settings(err) => err.fmt(f),
-      Self::TimeUp => write!(f, "the time is up: raise --timeout-ms, or ask again later"),
+      Self::Timeout => write!(f, "the time is up: raise --timeout-ms, or ask again later"),
     }
   }
 }
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -22,7 +22,7 @@
 pub mod query;
 mod run;
 mod settings_watch;
-mod standins;
+mod stand_in;
 
 /// Result of a command.
 pub type Result<T = (), E = Error> = std::result::Result<T, E>;
@@ -34,9 +34,9 @@
 /// Exit code of wrong usage or invalid settings.
 const USAGE: u8 = 2;
 
-/// Runs the command in `words`, which start with the program's name, and returns the exit code.
-pub fn execute(words: impl Iterator<Item = std::ffi::OsString>) -> std::process::ExitCode {
-  let matches = match arguments().try_get_matches_from(words) {
+/// Runs the command in `args`, which start with the program's name, and returns the exit code.
+pub fn execute(args: impl Iterator<Item = std::ffi::OsString>) -> std::process::ExitCode {
+  let matches = match arguments().try_get_matches_from(args) {
     Ok(matches) => matches,
     Err(err) => {
       err.print().ok();
@@ -62,7 +62,7 @@
     Some(("dev", matches)) => block_on(dev::run(matches.get_flag("once")))?.map_err(Error::Dev),
     Some(("query", matches)) => query::query(matches),
     Some(("run", matches)) => run::run(path(matches, "settings")),
-    Some(("stand-in", matches)) => standins::serve(matches),
+    Some(("stand-in", matches)) => stand_in::serve(matches),
     _ => unreachable!("the parser demands a known command"),
   }
 }
--- a/src/commands/query.rs
+++ b/src/commands/query.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// Interval in milliseconds between two polls of a rollout.
-const WATCH_PERIOD_MS: u64 = 250;
+const POLL_MS: u64 = 250;
 
 /// Size limit of an answer in bytes.
 const ANSWER_BYTES_MAX: usize = 16 << 20;
@@ -22,8 +22,8 @@
   let timeout_ms = *matches.get_one::<u64>("timeout-ms").expect("it has a default");
   block_on(async {
     let limit = Duration::from_millis(timeout_ms);
-    let carried_out = timer::timeout(limit, query.carry_out());
-    carried_out.await.unwrap_or(Err(Error::TimeUp))
+    let executed = timer::timeout(limit, query.execute());
+    executed.await.unwrap_or(Err(Error::Timeout))
   })?
 }
 
@@ -53,12 +53,12 @@
     }
   }
 
-  async fn carry_out(&self) -> Result {
+  async fn execute(&self) -> Result {
     let watched = self.text.trim().strip_prefix("watch ");
     if let Some(text) = watched {
       self.watch(text).await
     } else {
-      let answer = self.state(&self.text).await?;
+      let answer = self.send(&self.text).await?;
       self.print(&answer);
       if answer.outcome == AnswerOutcome::Done { Ok(()) } else { Err(Error::Refused) }
     }
@@ -67,7 +67,7 @@
   /// Polls a rollout and shows its progress until every box applies the version.
   async fn watch(&self, text: &str) -> Result {
     loop {
-      let answer = self.state(text).await?;
+      let answer = self.send(text).await?;
       if answer.outcome != AnswerOutcome::Done {
         self.print(&answer);
         return Err(Error::Refused);
@@ -81,18 +81,18 @@
         return Ok(());
       }
       eprintln!("{}", answer.message);
-      timer::sleep(Duration::from_millis(WATCH_PERIOD_MS)).await;
+      timer::sleep(Duration::from_millis(POLL_MS)).await;
     }
   }
 
-  async fn state(&self, text: &str) -> Result<Answer> {
+  async fn send(&self, text: &str) -> Result<Answer> {
     let request = StatementRequest { change_id: self.change_id.clone(), text: text.into() };
-    state(self.address, self.token.as_deref(), &request).await
+    send_script(self.address, self.token.as_deref(), &request).await
   }
 
   fn print(&self, answer: &Answer) {
     if self.is_json {
-      println!("{}", answer.json());
+      println!("{}", answer.to_json());
     } else {
       print!("{answer}");
     }
@@ -100,7 +100,7 @@
 }
 
 /// Sends a script to the daemon at `address` and returns the answer.
-pub async fn state(
+pub async fn send_script(
   address: SocketAddr,
   token: Option<&str>,
   request: &StatementRequest,
--- a/src/commands/run.rs
+++ b/src/commands/run.rs
@@ -24,8 +24,8 @@
   });
   let daemon = Daemon::start(settings, listeners, clock, log.clone(), rand::random());
   let mut watch = SettingsWatch::new(path);
-  while next(&signals, &mut watch).await? == Request::Reload {
-    watch.note_read();
+  while next_request(&signals, &mut watch).await? == Request::Reload {
+    watch.mark_read();
     daemon.reload(Settings::load(path));
   }
   daemon.stop().await;
@@ -34,7 +34,7 @@
 }
 
 /// Waits for a signal or for a change of the settings file, which requests a reload.
-async fn next(signals: &Signals, watch: &mut SettingsWatch) -> Result<Request> {
+async fn next_request(signals: &Signals, watch: &mut SettingsWatch) -> Result<Request> {
   let signal = Box::pin(signals.next());
   let changed = Box::pin(watch.changed());
   match futures_util::future::select(signal, changed).await {
--- a/src/dev/dev_box.rs
+++ b/src/dev/dev_box.rs
@@ -32,6 +32,6 @@
   /// States a script to the daemon.
   pub async fn state(&self, text: &str) -> Result<Answer> {
     let request = StatementRequest { change_id: None, text: text.into() };
-    Ok(query::state(self.administration(), None, &request).await?)
+    Ok(query::send_script(self.administration(), None, &request).await?)
   }
 }
--- a/src/language/document.rs
+++ b/src/language/document.rs
@@ -48,11 +48,11 @@
   }
 
   /// Returns the operations that turn `configuration` into this document; none if they are equal.
-  pub fn steps_from(&self, configuration: &Configuration) -> Vec<Operation> {
+  pub fn operations_from(&self, configuration: &Configuration) -> Vec<Operation> {
     let wanted = self.objects();
     let names: BTreeSet<ObjectName> = wanted.iter().map(Object::name).collect();
-    let surplus = configuration.object_names().into_iter().filter(|name| !names.contains(name));
-    let deletions = surplus.map(Operation::Delete);
+    let extra = configuration.object_names().into_iter().filter(|name| !names.contains(name));
+    let deletions = extra.map(Operation::Delete);
     let differs = |object: &Object| configuration.object(&object.name()).as_ref() != Some(object);
     let puts = wanted.into_iter().filter(differs).map(Operation::Put);
     deletions.chain(puts).collect()
--- a/src/language/error.rs
+++ b/src/language/error.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Error {
   /// The object to create exists already.
-  AlreadyThere {
+  AlreadyExists {
     /// The object.
     object: ObjectName,
   },
@@ -26,7 +26,7 @@
     what: String,
   },
   /// The script mixes changes with other statements, or has several of those.
-  Mixed,
+  MixedStatements,
   /// The object belongs to another team.
   NotOwned {
     /// The object.
@@ -61,7 +61,7 @@
 impl Display for Error {
   fn fmt(&self, f: &mut Formatter) -> fmt::Result {
     match self {
-      Self::AlreadyThere { object } => {
+      Self::AlreadyExists { object } => {
         write!(f, "{object} exists already: use `set` to change it")
       }
       Self::Document { reason } => write!(f, "the document cannot be read: {reason}"),
@@ -69,7 +69,9 @@
       Self::Forbidden { what } => {
         write!(f, "your role does not allow to {what}: ask an administrator")
       }
-      Self::Mixed => write!(f, "one script holds either changes or one question: split it"),
+      Self::MixedStatements => {
+        write!(f, "one script holds either changes or one question: split it")
+      }
       Self::NotOwned { object, owner, team } => write!(
         f,
         "{object} belongs to team {owner}, and you are of team {team}: ask them, or an administrator"
--- a/src/language/field.rs
+++ b/src/language/field.rs
@@ -45,65 +45,65 @@
 
 impl Field {
   /// Reads the fields of an object of `kind` up to the end of the statement.
-  pub(super) fn all(kind: Kind, cursor: &mut Cursor) -> Result<Vec<Self>> {
+  pub(super) fn parse_all(kind: Kind, cursor: &mut Cursor) -> Result<Vec<Self>> {
     let mut fields = Vec::new();
-    while !cursor.is_finished() {
-      fields.push(Self::one(kind, cursor)?);
+    while !cursor.is_at_end() {
+      fields.push(Self::parse(kind, cursor)?);
     }
     Ok(fields)
   }
 
-  fn one(kind: Kind, cursor: &mut Cursor) -> Result<Self> {
-    Ok(match cursor.one_of(kind.fields())? {
-      "attempts" => Self::Attempts(cursor.value("a number of tries")?),
-      "burst" => Self::Burst(cursor.value("a number of requests")?),
-      "deadline_ms" => Self::DeadlineMs(cursor.value("a number of milliseconds")?),
+  fn parse(kind: Kind, cursor: &mut Cursor) -> Result<Self> {
+    Ok(match cursor.expect_one_of(kind.fields())? {
+      "attempts" => Self::Attempts(cursor.parse_value("a number of tries")?),
+      "burst" => Self::Burst(cursor.parse_value("a number of requests")?),
+      "deadline_ms" => Self::DeadlineMs(cursor.parse_value("a number of milliseconds")?),
       "header" => {
-        let name = header_name(cursor)?;
-        Self::Header(name, cursor.text("the value of the header")?.into())
+        let name = parse_header_name(cursor)?;
+        Self::Header(name, cursor.take_text("the value of the header")?.into())
       }
-      "host" => Self::Host(Some(cursor.text("a host")?.into())),
-      "key_digest" => Self::KeyDigest(cursor.value("the digest of a key")?),
-      "method" => Self::Method(Some(method(cursor)?)),
-      "no" if kind == Kind::Organisation => Self::none_of_organisation(cursor)?,
-      "no" => Self::none(cursor)?,
-      "owner" => Self::Owner(cursor.value("the name of a team")?),
-      "path" => Self::PathPrefix(cursor.text("a path that starts with `/`")?.into()),
-      "policy" => Self::Policy(cursor.value("the name of a policy")?),
-      "priority" => Self::Priority(Some(cursor.value("a rank, 0 first")?)),
-      "queue_length" => Self::QueueLength(cursor.value("a number of requests")?),
-      "rate" => Self::Rate(Some(cursor.value("requests a second")?)),
-      "region" => Self::Region(cursor.value("the name of a region")?),
-      "repeatable" => Self::Repeatable(cursor.one_of(&["no", "yes"])? == "yes"),
-      _ => Self::Service(cursor.value("the name of a service")?),
+      "host" => Self::Host(Some(cursor.take_text("a host")?.into())),
+      "key_digest" => Self::KeyDigest(cursor.parse_value("the digest of a key")?),
+      "method" => Self::Method(Some(parse_method(cursor)?)),
+      "no" if kind == Kind::Organisation => Self::parse_organisation_removal(cursor)?,
+      "no" => Self::parse_removal(cursor)?,
+      "owner" => Self::Owner(cursor.parse_value("the name of a team")?),
+      "path" => Self::PathPrefix(cursor.take_text("a path that starts with `/`")?.into()),
+      "policy" => Self::Policy(cursor.parse_value("the name of a policy")?),
+      "priority" => Self::Priority(Some(cursor.parse_value("a rank, 0 first")?)),
+      "queue_length" => Self::QueueLength(cursor.parse_value("a number of requests")?),
+      "rate" => Self::Rate(Some(cursor.parse_value("requests a second")?)),
+      "region" => Self::Region(cursor.parse_value("the name of a region")?),
+      "repeatable" => Self::Repeatable(cursor.expect_one_of(&["no", "yes"])? == "yes"),
+      _ => Self::Service(cursor.parse_value("the name of a service")?),
     })
   }
 
-  fn none(cursor: &mut Cursor) -> Result<Self> {
-    Ok(match cursor.one_of(&["header", "host", "method"])? {
-      "header" => Self::NoHeader(header_name(cursor)?),
+  fn parse_removal(cursor: &mut Cursor) -> Result<Self> {
+    Ok(match cursor.expect_one_of(&["header", "host", "method"])? {
+      "header" => Self::NoHeader(parse_header_name(cursor)?),
       "host" => Self::Host(None),
       _ => Self::Method(None),
     })
   }
 
-  fn none_of_organisation(cursor: &mut Cursor) -> Result<Self> {
-    Ok(match cursor.one_of(&["key_digest", "priority", "rate", "region"])? {
-      "key_digest" => Self::NoKeyDigest(cursor.value("the digest of a key")?),
+  fn parse_organisation_removal(cursor: &mut Cursor) -> Result<Self> {
+    Ok(match cursor.expect_one_of(&["key_digest", "priority", "rate", "region"])? {
+      "key_digest" => Self::NoKeyDigest(cursor.parse_value("the digest of a key")?),
       "priority" => Self::Priority(None),
       "rate" => Self::Rate(None),
-      _ => Self::NoRegion(cursor.value("the name of a region")?),
+      _ => Self::NoRegion(cursor.parse_value("the name of a region")?),
     })
   }
 }
 
-fn header_name(cursor: &mut Cursor) -> Result<String> {
-  let name: HeaderName = cursor.value("the name of a header")?;
+fn parse_header_name(cursor: &mut Cursor) -> Result<String> {
+  let name: HeaderName = cursor.parse_value("the name of a header")?;
   Ok(name.as_str().into())
 }
 
-fn method(cursor: &mut Cursor) -> Result<String> {
-  let method: Method = cursor.value("an HTTP method")?;
+fn parse_method(cursor: &mut Cursor) -> Result<String> {
+  let method: Method = cursor.parse_value("an HTTP method")?;
   Ok(method.as_str().into())
 }
 
@@ -113,8 +113,8 @@
       Self::Attempts(attempts) => write!(f, "attempts {attempts}"),
       Self::Burst(burst) => write!(f, "burst {burst}"),
       Self::DeadlineMs(deadline_ms) => write!(f, "deadline_ms {deadline_ms}"),
-      Self::Header(name, value) => write!(f, "header {name} {}", Word::written(value)),
-      Self::Host(Some(host)) => write!(f, "host {}", Word::written(host)),
+      Self::Header(name, value) => write!(f, "header {name} {}", Word::quote_if_needed(value)),
+      Self::Host(Some(host)) => write!(f, "host {}", Word::quote_if_needed(host)),
       Self::Host(None) => write!(f, "no host"),
       Self::KeyDigest(digest) => write!(f, "key_digest {digest}"),
       Self::Method(Some(method)) => write!(f, "method {method}"),
@@ -123,7 +123,7 @@
       Self::NoKeyDigest(digest) => write!(f, "no key_digest {digest}"),
       Self::NoRegion(region) => write!(f, "no region {region}"),
       Self::Owner(team) => write!(f, "owner {team}"),
-      Self::PathPrefix(path) => write!(f, "path {}", Word::written(path)),
+      Self::PathPrefix(path) => write!(f, "path {}", Word::quote_if_needed(path)),
       Self::Policy(policy) => write!(f, "policy {policy}"),
       Self::Priority(Some(priority)) => write!(f, "priority {priority}"),
       Self::Priority(None) => write!(f, "no priority"),
--- a/src/language/kind.rs
+++ b/src/language/kind.rs
@@ -17,12 +17,13 @@
 
 impl Kind {
   /// The kinds that `create`, `set` and `delete` accept.
-  pub(super) const DRAFTED: [&'static str; 4] = ["organisation", "policy", "route", "service"];
+  pub(super) const OBJECT_KEYWORDS: [&'static str; 4] =
+    ["organisation", "policy", "route", "service"];
   /// The plural keywords of all kinds, which `show` lists.
   pub(super) const PLURALS: [&'static str; 5] =
     ["drains", "organisations", "policies", "routes", "services"];
 
-  pub(super) fn of(keyword: &str) -> Self {
+  pub(super) fn from_keyword(keyword: &str) -> Self {
     match keyword {
       "drain" | "drains" => Self::Drain,
       "organisation" | "organisations" => Self::Organisation,
@@ -55,13 +56,15 @@
   }
 
   /// Reads the name of an object of this kind.
-  pub(super) fn name(self, cursor: &mut Cursor) -> Result<ObjectName> {
+  pub(super) fn parse_name(self, cursor: &mut Cursor) -> Result<ObjectName> {
     Ok(match self {
-      Self::Drain => ObjectName::Drain(cursor.value("the name of a box")?),
-      Self::Organisation => ObjectName::Organisation(cursor.value("the name of an organisation")?),
-      Self::Policy => ObjectName::Policy(cursor.value("the name of a policy")?),
-      Self::Route => ObjectName::Route(cursor.value("the name of a route")?),
-      Self::Service => ObjectName::Service(cursor.value("the name of a service")?),
+      Self::Drain => ObjectName::Drain(cursor.parse_value("the name of a box")?),
+      Self::Organisation => {
+        ObjectName::Organisation(cursor.parse_value("the name of an organisation")?)
+      }
+      Self::Policy => ObjectName::Policy(cursor.parse_value("the name of a policy")?),
+      Self::Route => ObjectName::Route(cursor.parse_value("the name of a route")?),
+      Self::Service => ObjectName::Service(cursor.parse_value("the name of a service")?),
     })
   }
 
--- a/src/language/mod.rs
+++ b/src/language/mod.rs
@@ -14,10 +14,10 @@
 
 pub use self::{
   document::Document,
-  draft::Draft,
   error::Error,
   field::Field,
   kind::Kind,
+  object_spec::ObjectSpec,
   plan::{Author, Plan},
   question::Question,
   script::Script,
@@ -28,11 +28,11 @@
 
 mod cursor;
 mod document;
-mod draft;
 mod error;
 mod field;
 mod kind;
 mod nearest;
+mod object_spec;
 mod plan;
 mod question;
 mod script;
--- a/src/language/draft.rs
+++ b/src/language/object_spec.rs
@@ -2,18 +2,18 @@
 
 /// An object and the fields that a `create` or `set` statement gives it.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Draft {
+pub struct ObjectSpec {
   /// The fields in the order given. The last value of a field counts.
   pub fields: Vec<Field>,
   /// The object.
   pub object: ObjectName,
 }
 
-impl Draft {
-  pub(super) fn read(cursor: &mut Cursor) -> Result<Self> {
-    let kind = Kind::of(cursor.one_of(&Kind::DRAFTED)?);
-    let object = kind.name(cursor)?;
-    Ok(Self { fields: Field::all(kind, cursor)?, object })
+impl ObjectSpec {
+  pub(super) fn parse(cursor: &mut Cursor) -> Result<Self> {
+    let kind = Kind::from_keyword(cursor.expect_one_of(&Kind::OBJECT_KEYWORDS)?);
+    let object = kind.parse_name(cursor)?;
+    Ok(Self { fields: Field::parse_all(kind, cursor)?, object })
   }
 
   /// Returns a new object with these fields, owned by `team` unless a field names another owner.
@@ -21,19 +21,19 @@
     match &self.object {
       ObjectName::Drain(name) => Ok(Object::Drain(name.clone(), Drain { owner: team.clone() })),
       ObjectName::Organisation(name) => {
-        let blank = Organisation {
+        let defaults = Organisation {
           keys: BTreeSet::new(),
           owner: team.clone(),
           priority: None,
           rate_limit: None,
           regions: BTreeSet::new(),
         };
-        Ok(self.fill(Object::Organisation(name.clone(), blank)))
+        Ok(self.apply_to(Object::Organisation(name.clone(), defaults)))
       }
       ObjectName::Policy(name) => {
-        let blank =
+        let defaults =
           Policy { attempts: 2, deadline_ms: 30_000, owner: team.clone(), queue_length: 24 };
-        Ok(self.fill(Object::Policy(name.clone(), blank)))
+        Ok(self.apply_to(Object::Policy(name.clone(), defaults)))
       }
       ObjectName::Route(name) => self.create_route(name, team),
       ObjectName::Service(name) => {
@@ -42,7 +42,7 @@
           _ => None,
         });
         let policy = policy.ok_or_else(|| self.missing("policy"))?;
-        Ok(self.fill(Object::Service(
+        Ok(self.apply_to(Object::Service(
           name.clone(),
           Service {
             cold_start: None,
@@ -65,7 +65,7 @@
       Field::Service(service) => Some(service.clone()),
       _ => None,
     });
-    let blank = Route {
+    let defaults = Route {
       handling: Handling::default(),
       headers: BTreeMap::new(),
       host: None,
@@ -75,7 +75,7 @@
       repeatable: true,
       service: service.ok_or_else(|| self.missing("service"))?,
     };
-    Ok(self.fill(Object::Route(name.clone(), blank)))
+    Ok(self.apply_to(Object::Route(name.clone(), defaults)))
   }
 
   fn missing(&self, field: &'static str) -> Error {
@@ -83,7 +83,7 @@
   }
 
   /// Returns `object` with these fields set.
-  pub fn fill(&self, mut object: Object) -> Object {
+  pub fn apply_to(&self, mut object: Object) -> Object {
     for field in self.fields.iter().cloned() {
       match &mut object {
         Object::Drain(..) => {}
@@ -162,7 +162,7 @@
   }
 }
 
-impl Display for Draft {
+impl Display for ObjectSpec {
   fn fmt(&self, f: &mut Formatter) -> fmt::Result {
     self.object.fmt(f)?;
     self.fields.iter().try_for_each(|field| write!(f, " {field}"))
--- a/src/language/script.rs
+++ b/src/language/script.rs
@@ -20,7 +20,7 @@
     if text.len() > SCRIPT_BYTES_MAX {
       return Err(Error::TooLong);
     }
-    let words = Word::all(text)?;
+    let words = Word::split(text)?;
     let end = text.chars().count() + 1;
     let parts: Vec<&[Word]> =
       words.split(Word::is_separator).filter(|part| !part.is_empty()).collect();
@@ -28,25 +28,25 @@
       return Err(Error::TooLong);
     }
     let mut first = Cursor::new(parts.first().copied().unwrap_or_default(), end);
-    let dry_run = first.skip("dry");
+    let dry_run = first.skip_keyword("dry");
     if dry_run {
-      first.keyword("run")?;
+      first.expect_keyword("run")?;
     }
     let mut only_at = None;
-    if first.skip("if") {
-      first.keyword("version")?;
-      only_at = Some(first.value("the number of a version")?);
+    if first.skip_keyword("if") {
+      first.expect_keyword("version")?;
+      only_at = Some(first.parse_value("the number of a version")?);
     }
     let mut reason = None;
-    if first.skip("reason") {
-      reason = Some(first.text("the reason in quotes")?.to_string());
+    if first.skip_keyword("reason") {
+      reason = Some(first.take_text("the reason in quotes")?.to_string());
     }
-    let mut statements = vec![Statement::read(&mut first)?];
+    let mut statements = vec![Statement::parse(&mut first)?];
     for part in parts.into_iter().skip(1) {
-      statements.push(Statement::read(&mut Cursor::new(part, end))?);
+      statements.push(Statement::parse(&mut Cursor::new(part, end))?);
     }
     if statements.len() > 1 && !statements.iter().all(Statement::is_change) {
-      return Err(Error::Mixed);
+      return Err(Error::MixedStatements);
     }
     Ok(Self { dry_run, only_at, reason, statements })
   }
--- a/src/language/statement.rs
+++ b/src/language/statement.rs
@@ -10,7 +10,7 @@
   /// Asks a question; changes nothing.
   Ask(Question),
   /// Creates an object.
-  Create(Draft),
+  Create(ObjectSpec),
   /// Deletes an object.
   Delete(ObjectName),
   /// Stops new requests to a box.
@@ -20,7 +20,7 @@
   /// Replaces the configuration with that of an older version.
   Rollback(Version),
   /// Changes fields of an object.
-  Set(Draft),
+  Set(ObjectSpec),
   /// Sets the log level of the daemon that answers.
   SetLogLevel(LogLevel),
   /// Allows new requests to a drained box again.
@@ -31,36 +31,38 @@
   const CHANGES: [&'static str; 9] =
     ["allow", "apply", "create", "delete", "drain", "restore", "rollback", "set", "undrain"];
 
-  pub(super) fn read(cursor: &mut Cursor) -> Result<Self> {
+  pub(super) fn parse(cursor: &mut Cursor) -> Result<Self> {
     let keywords: Vec<&'static str> = Self::CHANGES.into_iter().chain(Question::KEYWORDS).collect();
-    let statement = match cursor.one_of(&keywords)? {
+    let statement = match cursor.expect_one_of(&keywords)? {
       "allow" => {
-        cursor.keyword("request")?;
+        cursor.expect_keyword("request")?;
         Self::AllowRequest(
-          cursor.value("the fingerprint of a request, as `show suspects` tells it")?,
+          cursor.parse_value("the fingerprint of a request, as `show suspects` tells it")?,
         )
       }
-      "apply" => Self::Apply(cursor.text("a JSON document")?.parse()?),
-      "create" => Self::Create(Draft::read(cursor)?),
-      "delete" => Self::Delete(Kind::of(cursor.one_of(&Kind::DRAFTED)?).name(cursor)?),
-      "drain" => Self::Drain(cursor.value("the name of a box")?),
+      "apply" => Self::Apply(cursor.take_text("a JSON document")?.parse()?),
+      "create" => Self::Create(ObjectSpec::parse(cursor)?),
+      "delete" => Self::Delete(
+        Kind::from_keyword(cursor.expect_one_of(&Kind::OBJECT_KEYWORDS)?).parse_name(cursor)?,
+      ),
+      "drain" => Self::Drain(cursor.parse_value("the name of a box")?),
       "restore" => {
-        cursor.keyword("store")?;
+        cursor.expect_keyword("store")?;
         Self::RestoreStore
       }
       "rollback" => {
-        cursor.keyword("to")?;
-        Self::Rollback(cursor.value("the number of a version")?)
+        cursor.expect_keyword("to")?;
+        Self::Rollback(cursor.parse_value("the number of a version")?)
       }
-      "set" if cursor.skip("log") => {
-        cursor.keyword("level")?;
-        Self::SetLogLevel(cursor.value("debug, error, info, trace or warning")?)
+      "set" if cursor.skip_keyword("log") => {
+        cursor.expect_keyword("level")?;
+        Self::SetLogLevel(cursor.parse_value("debug, error, info, trace or warning")?)
       }
-      "set" => Self::Set(Draft::read(cursor)?),
-      "undrain" => Self::Undrain(cursor.value("the name of a box")?),
-      question => Self::Ask(Question::read(question, cursor)?),
+      "set" => Self::Set(ObjectSpec::parse(cursor)?),
+      "undrain" => Self::Undrain(cursor.parse_value("the name of a box")?),
+      question => Self::Ask(Question::parse(question, cursor)?),
     };
-    cursor.finish()?;
+    cursor.expect_end()?;
     Ok(statement)
   }
 
@@ -79,12 +81,12 @@
       Self::AllowRequest(fingerprint) => write!(f, "allow request {fingerprint}"),
       Self::Apply(document) => write!(f, "apply {document}"),
       Self::Ask(question) => question.fmt(f),
-      Self::Create(draft) => write!(f, "create {draft}"),
+      Self::Create(spec) => write!(f, "create {spec}"),
       Self::Delete(object) => write!(f, "delete {object}"),
       Self::Drain(box_id) => write!(f, "drain {box_id}"),
       Self::RestoreStore => write!(f, "restore store"),
       Self::Rollback(version) => write!(f, "rollback to {version}"),
-      Self::Set(draft) => write!(f, "set {draft}"),
+      Self::Set(spec) => write!(f, "set {spec}"),
       Self::SetLogLevel(level) => write!(f, "set log level {level}"),
       Self::Undrain(box_id) => write!(f, "undrain {box_id}"),
     }
--- a/src/language/word.rs
+++ b/src/language/word.rs
@@ -28,7 +28,7 @@
   }
 
   /// Splits a script into words.
-  pub(super) fn all(script: &str) -> Result<Vec<Self>> {
+  pub(super) fn split(script: &str) -> Result<Vec<Self>> {
     let mut input = LocatingSlice::new(script);
     let words: ModalResult<Vec<Self>> =
       repeat(0.., preceded(multispace0, word)).parse_next(&mut input);
@@ -48,7 +48,7 @@
   }
 
   /// Returns `text` as it is written in a script, in quotes if necessary.
-  pub(super) fn written(text: &str) -> String {
+  pub(super) fn quote_if_needed(text: &str) -> String {
     let is_bare = !text.is_empty() && text.chars().all(is_bare_character);
     if is_bare {
       return text.into();
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_daemon_that_is_not_there_is_a_failure() {
+fn an_unreachable_daemon_is_a_failure() {
   let free = TcpListener::bind("127.0.0.1:0").and_then(|one| one.local_addr()).expect("a port");
   Test::new()
     .arguments(&["query", "--admin", &free.to_string(), "fleet"])
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn bad_settings_start_nothing() {
+fn invalid_settings_prevent_the_start() {
   let test = Test::new();
   let path = test.path("settings.json");
   std::fs::write(&path, "{}").expect("a file");
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_taken_port_is_refused() {
+fn a_port_in_use_prevents_the_start() {
   let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
   let address = taken.local_addr().expect("an address").to_string();
   let mut settings = good_settings();
--- a/tests/language.rs
+++ b/tests/language.rs
@@ -46,7 +46,7 @@
 ];
 
 #[test]
-fn every_statement_prints_as_it_is_read() {
+fn every_statement_prints_as_it_was_parsed() {
   for text in SCRIPTS {
     let script: Script = text.parse().unwrap_or_else(|err| panic!("`{text}`: {err}"));
     assert_eq!(script.to_string(), text);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn errors_name_the_place_and_what_was_expected() {
+fn errors_name_the_position_and_the_expected_word() {
   let err = error("create route minutes path");
   assert_eq!(err, "column 26: found the end, expected a path that starts with `/`");
   let err = error("show rout minutes");
@@ -73,7 +73,7 @@
 #[test]
 fn changes_and_questions_do_not_mix() {
   let err = "drain archive-1; fleet".parse::<Script>();
-  assert_eq!(err, Err(Error::Mixed));
+  assert_eq!(err, Err(Error::MixedStatements));
 }
 
 #[test]
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn deep_braces_are_an_error_and_no_crash() {
+fn deeply_nested_braces_are_an_error_and_no_crash() {
   let err = error(&format!("apply {}", "{".repeat(500_000)));
   assert!(err.starts_with("column 7"), "{}", &err[..err.len().min(200)]);
   let err = error(&format!("apply {}{}", "{".repeat(100_000), "}".repeat(100_000)));
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn an_empty_script_says_what_is_expected() {
+fn the_error_of_an_empty_script_lists_the_keywords() {
   assert!(error("").contains("`create`"), "{}", error(""));
 }
 
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn near_valid_scripts_never_panic_and_print_as_they_are_read() {
+fn near_valid_scripts_never_panic_and_print_as_they_were_parsed() {
   let mut read = 0;
   histories(3_000, |u| {
     let text = near_valid(u)?;
--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -26,13 +26,13 @@
   lines
 }
 
-async fn state_page(page: &str) -> Result {
+async fn run_page(page: &str) -> Result {
   let mesh = Mesh::start(Mesh::inyandiko())?;
   mesh.settle().await?;
   let statements = fenced(page, "statement");
   assert!(!statements.is_empty(), "{page} has no statement");
   for statement in statements {
-    let answer = ask(&mesh, &statement).await?;
+    let answer = execute(&mesh, &statement).await?;
     assert_eq!(answer.outcome, AnswerOutcome::Done, "{page}: `{statement}`: {}", answer.message);
     if let Some(version) = answer.version {
       mesh.wait_for_version(version).await?;
@@ -43,9 +43,9 @@
 
 /// Runs a statement. On a busy machine a box may answer too late, and the message then says that it
 /// does not answer; the statement is retried in this case only. Any other answer counts.
-async fn ask(mesh: &Mesh, statement: &str) -> Result<Answer> {
-  const TRIES_MAX: usize = 50;
-  for _ in 1..TRIES_MAX {
+async fn execute(mesh: &Mesh, statement: &str) -> Result<Answer> {
+  const ATTEMPTS_MAX: usize = 50;
+  for _ in 1..ATTEMPTS_MAX {
     let answer = mesh.boxes[0].state(statement).await?;
     if answer.outcome == AnswerOutcome::Done || !answer.message.contains("does not answer") {
       return Ok(answer);
@@ -56,7 +56,7 @@
 }
 
 fn check_page(page: &str) {
-  block_on(state_page(page)).expect("an event loop").expect("the deployment runs");
+  block_on(run_page(page)).expect("an event loop").expect("the deployment runs");
 }
 
 #[test]
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn the_settings_on_the_page_are_good() {
+fn the_settings_on_the_page_are_valid() {
   let text = fenced("install.md", "json").join("\n");
   let text =
     text.replace("{ \"file\": \"/run/secrets/ferryyoke\" }", "{ \"environment\": \"KEY\" }");
