--- a/src/commands/query.rs
+++ b/src/commands/query.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 
-/// Milliseconds between two looks at a rollout.
-const WATCH_PERIOD_MS: u64 = 250;
+/// Interval in milliseconds between two polls of a rollout.
+const POLL_MS: u64 = 250;
 
-/// Largest answer in bytes.
+/// Size limit of an answer in bytes.
 const ANSWER_BYTES_MAX: usize = 16 << 20;
 
 struct Query {
@@ -16,14 +16,14 @@
   token: Option<String>,
 }
 
-/// States a script to a daemon and prints what comes back.
+/// Sends a script to a daemon and prints the answer.
 pub fn query(matches: &ArgMatches) -> Result {
   let query = Query::read(matches)?;
   let timeout_ms = *matches.get_one::<u64>("timeout-ms").expect("it has a default");
   block_on(async {
     let limit = Duration::from_millis(timeout_ms);
-    let carried_out = timer::timeout(limit, query.carry_out());
-    carried_out.await.unwrap_or(Err(Error::TimeUp))
+    let executed = timer::timeout(limit, query.execute());
+    executed.await.unwrap_or(Err(Error::Timeout))
   })?
 }
 
@@ -53,21 +53,21 @@
     }
   }
 
-  async fn carry_out(&self) -> Result {
+  async fn execute(&self) -> Result {
     let watched = self.text.trim().strip_prefix("watch ");
     if let Some(text) = watched {
       self.watch(text).await
     } else {
-      let answer = self.state(&self.text).await?;
+      let answer = self.send(&self.text).await?;
       self.print(&answer);
       if answer.outcome == AnswerOutcome::Done { Ok(()) } else { Err(Error::Refused) }
     }
   }
 
-  /// Shows the progress of a rollout until every box applies the version.
+  /// Polls a rollout and shows its progress until every box applies the version.
   async fn watch(&self, text: &str) -> Result {
     loop {
-      let answer = self.state(text).await?;
+      let answer = self.send(text).await?;
       if answer.outcome != AnswerOutcome::Done {
         self.print(&answer);
         return Err(Error::Refused);
@@ -81,26 +81,26 @@
         return Ok(());
       }
       eprintln!("{}", answer.message);
-      timer::sleep(Duration::from_millis(WATCH_PERIOD_MS)).await;
+      timer::sleep(Duration::from_millis(POLL_MS)).await;
     }
   }
 
-  async fn state(&self, text: &str) -> Result<Answer> {
+  async fn send(&self, text: &str) -> Result<Answer> {
     let request = StatementRequest { change_id: self.change_id.clone(), text: text.into() };
-    state(self.address, self.token.as_deref(), &request).await
+    send_script(self.address, self.token.as_deref(), &request).await
   }
 
   fn print(&self, answer: &Answer) {
     if self.is_json {
-      println!("{}", answer.json());
+      println!("{}", answer.to_json());
     } else {
       print!("{answer}");
     }
   }
 }
 
-/// States a script to the daemon at `address`.
-pub async fn state(
+/// Sends a script to the daemon at `address` and returns the answer.
+pub async fn send_script(
   address: SocketAddr,
   token: Option<&str>,
   request: &StatementRequest,
--- a/src/dev/dev_box.rs
+++ b/src/dev/dev_box.rs
@@ -32,6 +32,6 @@
   /// Sends a script of statements to the daemon and returns its answer.
   pub async fn execute(&self, text: &str) -> Result<Answer> {
     let request = StatementRequest { change_id: None, text: text.into() };
-    Ok(query::state(self.administration(), None, &request).await?)
+    Ok(query::send_script(self.administration(), None, &request).await?)
   }
 }
--- a/src/language/kind.rs
+++ b/src/language/kind.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A kind of objects.
+/// The kinds of objects in a configuration.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Kind {
   /// Drains of boxes.
@@ -16,13 +16,14 @@
 }
 
 impl Kind {
-  /// The kinds that `create` and `set` take.
-  pub(super) const DRAFTED: [&'static str; 4] = ["organisation", "policy", "route", "service"];
-  /// All kinds, in the plural.
+  /// The kinds that `create`, `set` and `delete` accept.
+  pub(super) const OBJECT_KEYWORDS: [&'static str; 4] =
+    ["organisation", "policy", "route", "service"];
+  /// The plural keywords of all kinds, which `show` lists.
   pub(super) const PLURALS: [&'static str; 5] =
     ["drains", "organisations", "policies", "routes", "services"];
 
-  pub(super) fn of(keyword: &str) -> Self {
+  pub(super) fn from_keyword(keyword: &str) -> Self {
     match keyword {
       "drain" | "drains" => Self::Drain,
       "organisation" | "organisations" => Self::Organisation,
@@ -32,7 +33,7 @@
     }
   }
 
-  /// The kind in the plural.
+  /// Returns the plural keyword of the kind.
   pub fn plural(self) -> &'static str {
     match self {
       Self::Drain => "drains",
@@ -43,7 +44,7 @@
     }
   }
 
-  /// The kind of an object.
+  /// Returns the kind of the object that `name` names.
   pub fn of_object(name: &ObjectName) -> Self {
     match name {
       ObjectName::Drain(_) => Self::Drain,
@@ -54,18 +55,20 @@
     }
   }
 
-  /// Takes the name of an object of this kind.
-  pub(super) fn name(self, cursor: &mut Cursor) -> Result<ObjectName> {
+  /// Reads the name of an object of this kind.
+  pub(super) fn parse_name(self, cursor: &mut Cursor) -> Result<ObjectName> {
     Ok(match self {
-      Self::Drain => ObjectName::Drain(cursor.value("the name of a box")?),
-      Self::Organisation => ObjectName::Organisation(cursor.value("the name of an organisation")?),
-      Self::Policy => ObjectName::Policy(cursor.value("the name of a policy")?),
-      Self::Route => ObjectName::Route(cursor.value("the name of a route")?),
-      Self::Service => ObjectName::Service(cursor.value("the name of a service")?),
+      Self::Drain => ObjectName::Drain(cursor.parse_value("the name of a box")?),
+      Self::Organisation => {
+        ObjectName::Organisation(cursor.parse_value("the name of an organisation")?)
+      }
+      Self::Policy => ObjectName::Policy(cursor.parse_value("the name of a policy")?),
+      Self::Route => ObjectName::Route(cursor.parse_value("the name of a route")?),
+      Self::Service => ObjectName::Service(cursor.parse_value("the name of a service")?),
     })
   }
 
-  /// The fields of this kind.
+  /// Returns the keywords that start a field of this kind.
   pub(super) fn fields(self) -> &'static [&'static str] {
     match self {
       Self::Drain => &[],
