--- a/src/platform/store_client.rs
+++ b/src/platform/store_client.rs
@@ -235,12 +235,12 @@
     };
     let latest = self.era();
     if era < latest {
-      let reason = format!("the answer is of era {era}, but the store is in era {latest}");
+      let reason = format!("an answer of era {era}, and the store is in era {latest}");
       return Err(store::Error::Unknown { reason });
     }
     self.era.set(Some(era));
     if era_at_start.is_some_and(|era_at_start| era_at_start < era) {
-      let reason = format!("the store was restored from a backup during the call, to era {era}");
+      let reason = format!("the store came back from a copy meanwhile, in era {era}");
       return Err(store::Error::Unknown { reason });
     }
     Ok(())
--- a/src/store/call_kind.rs
+++ b/src/store/call_kind.rs
@@ -26,8 +26,7 @@
       other => Error::from(other),
     };
     let waited_ms = waited.as_millis();
-    let detailed =
-      |reason| format!("{self}: {reason}; waited {waited_ms} ms, received {bytes} bytes");
+    let detailed = |reason| format!("{self}: {reason}; waited {waited_ms} ms, {bytes} bytes came");
     match failure {
       Error::Unknown { reason } => Error::Unknown { reason: detailed(reason) },
       Error::Refused(Refusal::Unreachable { reason }) => {
