--- a/crates/ferryyoke-soak/src/commands.rs
+++ b/crates/ferryyoke-soak/src/commands.rs
@@ -1,16 +1,16 @@
 use super::*;
 
 /// Runs the soak test, or acts as `ferryyoke` if the first argument asks for it.
-pub fn execute(words: Vec<OsString>) -> std::process::ExitCode {
-  if words.get(1).is_some_and(|word| word == AS_FERRYYOKE) {
-    let is_suspended = words.get(2).is_some_and(|word| word == StoppedClocks::WORD);
+pub fn execute(args: Vec<OsString>) -> std::process::ExitCode {
+  if args.get(1).is_some_and(|arg| arg == AS_FERRYYOKE) {
+    let is_suspended = args.get(2).is_some_and(|arg| arg == StoppedClocks::WORD);
     if is_suspended {
       ferryyoke::timer::install(Rc::new(StoppedClocks::default()));
     }
-    let own = words.iter().take(1).chain(words.iter().skip(2 + usize::from(is_suspended))).cloned();
+    let own = args.iter().take(1).chain(args.iter().skip(2 + usize::from(is_suspended))).cloned();
     return ferryyoke::commands::execute(own.collect::<Vec<_>>().into_iter());
   }
-  let matches = arguments().get_matches_from(words);
+  let matches = arguments().get_matches_from(args);
   match soak(&matches) {
     Ok(0) => std::process::ExitCode::SUCCESS,
     Ok(_) => std::process::ExitCode::FAILURE,
--- a/crates/ferryyoke-soak/src/ending.rs
+++ b/crates/ferryyoke-soak/src/crashing_run.rs
@@ -2,7 +2,7 @@
 
 /// One run of a request that crashes the backend server which runs it.
 #[derive(Clone, Copy, Debug)]
-pub struct Ending {
+pub struct CrashingRun {
   /// When the run began.
   pub at_ms: Ms,
   /// The box to which the request was sent.
@@ -11,7 +11,7 @@
   pub number: usize,
 }
 
-impl Ending {
+impl CrashingRun {
   const PREFIX: &str = "ends";
 
   /// Returns the request id of an attempt.
--- a/crates/ferryyoke-soak/src/trouble.rs
+++ b/crates/ferryyoke-soak/src/fault_spans.rs
@@ -2,25 +2,25 @@
 
 /// Time spans of injected faults at one box or at the store.
 #[derive(Clone, Debug, Default)]
-pub struct Trouble {
+pub struct FaultSpans {
   /// The beginning of each span, and its end once known.
   spans: Vec<(Ms, Option<Ms>)>,
 }
 
-impl Trouble {
-  /// Begins a span that lasts until [`Trouble::end`]. Returns its index.
+impl FaultSpans {
+  /// Begins a span that lasts until [`FaultSpans::end`]. Returns its index.
   pub fn begin(&mut self, now: Ms) -> usize {
     self.spans.push((now, None));
     self.spans.len() - 1
   }
 
-  /// Ends a span that [`Trouble::begin`] began.
+  /// Ends a span that [`FaultSpans::begin`] began.
   pub fn end(&mut self, span: usize, now: Ms) {
     self.spans[span].1 = Some(now);
   }
 
   /// Records a fault without duration.
-  pub fn touch(&mut self, now: Ms) {
+  pub fn add_moment(&mut self, now: Ms) {
     self.spans.push((now, Some(now)));
   }
 
--- a/crates/ferryyoke-soak/src/harm.rs
+++ b/crates/ferryyoke-soak/src/inject.rs
@@ -4,7 +4,7 @@
 
 /// Injects faults, each from its beginning to its end.
 impl Run {
-  pub(super) async fn harm(&self, fault: Fault) -> Result {
+  pub(super) async fn inject(&self, fault: Fault) -> Result {
     match fault {
       Fault::Change => self.change(),
       Fault::Crash { index, down_ms } => {
@@ -13,7 +13,7 @@
       }
       Fault::Cut { index, for_ms, one_way } => {
         self.boxes[index].silence(true, !one_way);
-        self.trouble_at(&[index], for_ms).await;
+        self.record_box_faults(&[index], for_ms).await;
         // The withheld bytes are lost, as those of a sender that gave up.
         self.boxes[index].reset();
         self.boxes[index].silence(false, false);
@@ -21,7 +21,7 @@
       }
       Fault::Delay { index, for_ms, delay_ms } => {
         self.boxes[index].delay(delay_ms);
-        self.trouble_at(&[index], for_ms).await;
+        self.record_box_faults(&[index], for_ms).await;
         self.boxes[index].delay(0);
         Ok(())
       }
@@ -36,21 +36,21 @@
       Fault::Foreign(foreign) => self.write_foreign(foreign).await,
       Fault::Freeze { index, for_ms } => {
         self.boxes[index].signal("STOP")?;
-        self.trouble_at(&[index], for_ms).await;
+        self.record_box_faults(&[index], for_ms).await;
         self.boxes[index].signal("CONT").map(drop)
       }
       Fault::Kill { indexes, down_ms } => self.kill(&indexes, down_ms).await,
       Fault::Reload { index } => self.boxes[index].signal("HUP").map(drop),
       Fault::Reset { index } => {
         self.boxes[index].reset();
-        self.trouble_at(&[index], 0).await;
+        self.record_box_faults(&[index], 0).await;
         Ok(())
       }
       Fault::Sever { indexes } => {
         for index in &indexes {
           self.boxes[*index].sever();
         }
-        self.trouble_at(&indexes, 0).await;
+        self.record_box_faults(&indexes, 0).await;
         Ok(())
       }
       Fault::Stop { indexes, gap_ms } => {
@@ -64,14 +64,14 @@
         for index in &indexes {
           self.boxes[*index].store.sever();
         }
-        self.trouble_at(&indexes, 0).await;
+        self.record_box_faults(&indexes, 0).await;
         Ok(())
       }
       Fault::StoreTurnsAway { indexes, for_ms } => {
         for index in &indexes {
           self.boxes[*index].store.silence(true, true);
         }
-        self.trouble_at(&indexes, for_ms).await;
+        self.record_box_faults(&indexes, for_ms).await;
         for index in &indexes {
           self.boxes[*index].store.reset();
           self.boxes[*index].store.silence(false, false);
@@ -83,7 +83,7 @@
       | Fault::StoreForgets
       | Fault::StoreLoses { .. }
       | Fault::StoreSlow { .. } => {
-        self.harm_store(fault).await;
+        self.inject_at_store(fault).await;
         Ok(())
       }
     }
@@ -104,7 +104,7 @@
         .write_foreign(&platform::entry_key(index), platform::foreign_items().swap_remove(form)),
       Foreign::Report { index } => {
         for body in platform::foreign_reports() {
-          let status = self.boxes[index].backend_server.say("heartbeat", &body).await;
+          let status = self.boxes[index].backend_server.call_daemon("heartbeat", &body).await;
           if status.is_some_and(|status| !status.is_client_error()) {
             let seen = format!("box {index} answers {status:?} to {body}");
             self.violate("reports of other writers are refused", seen);
@@ -115,20 +115,20 @@
     }
   }
 
-  async fn harm_store(&self, fault: Fault) {
+  async fn inject_at_store(&self, fault: Fault) {
     /// Upper limit of the milliseconds for which the store loses answers.
     const LOSES_MS: Ms = 2_000;
     match fault {
       Fault::StoreDown { for_ms, lapse } => {
         self.store.set_faults(|faults| faults.down = true);
-        self.trouble_at_store(for_ms).await;
+        self.record_store_fault(for_ms).await;
         if lapse {
           self.store.lapse();
         }
         self.store.set_faults(|faults| faults.down = false);
       }
       Fault::StoreGoesBack { age_ms, away_ms, rewritten_ms } => {
-        let span = self.record.borrow_mut().store_trouble.begin(self.now());
+        let span = self.record.borrow_mut().store_faults.begin(self.now());
         self.store.go_back(Some(age_ms), away_ms).await;
         pause(rewritten_ms).await;
         let added = self.record.borrow().changes.len() - 1;
@@ -138,19 +138,19 @@
             format!("restoring the configuration failed: {err:?}"),
           );
         }
-        self.record.borrow_mut().store_trouble.end(span, self.now());
+        self.record.borrow_mut().store_faults.end(span, self.now());
       }
       Fault::StoreLoses { late_ms, writes } => {
         self.store.set_faults(|faults| {
           faults.late_ms = late_ms;
           faults.lost_writes = writes;
         });
-        self.trouble_at_store(LOSES_MS).await;
+        self.record_store_fault(LOSES_MS).await;
         self.store.set_faults(|faults| faults.lost_writes = 0);
       }
       Fault::StoreSlow { for_ms, delay_ms } => {
         self.store.set_faults(|faults| faults.delay_ms = delay_ms);
-        self.trouble_at_store(for_ms).await;
+        self.record_store_fault(for_ms).await;
         self.store.set_faults(|faults| faults.delay_ms = 0);
       }
       _ => self.store.forget(),
@@ -158,30 +158,30 @@
   }
 
   /// Waits, and records the time as a fault of some boxes.
-  async fn trouble_at(&self, indexes: &[usize], for_ms: Ms) {
-    let spans = self.begin_trouble(indexes);
+  async fn record_box_faults(&self, indexes: &[usize], for_ms: Ms) {
+    let spans = self.begin_faults(indexes);
     pause(for_ms).await;
-    self.end_trouble(indexes, &spans);
+    self.end_faults(indexes, &spans);
   }
 
-  fn begin_trouble(&self, indexes: &[usize]) -> Vec<usize> {
+  fn begin_faults(&self, indexes: &[usize]) -> Vec<usize> {
     let (now, mut record) = (self.now(), self.record.borrow_mut());
-    let mut begin = |index: &usize| record.box_trouble.entry(*index).or_default().begin(now);
+    let mut begin = |index: &usize| record.box_faults.entry(*index).or_default().begin(now);
     indexes.iter().map(&mut begin).collect()
   }
 
-  fn end_trouble(&self, indexes: &[usize], spans: &[usize]) {
+  fn end_faults(&self, indexes: &[usize], spans: &[usize]) {
     let (now, mut record) = (self.now(), self.record.borrow_mut());
     for (index, span) in indexes.iter().zip(spans) {
-      record.box_trouble.entry(*index).or_default().end(*span, now);
+      record.box_faults.entry(*index).or_default().end(*span, now);
     }
   }
 
   /// Waits, and records the time as a fault of the store.
-  async fn trouble_at_store(&self, for_ms: Ms) {
-    let span = self.record.borrow_mut().store_trouble.begin(self.now());
+  async fn record_store_fault(&self, for_ms: Ms) {
+    let span = self.record.borrow_mut().store_faults.begin(self.now());
     pause(for_ms).await;
-    self.record.borrow_mut().store_trouble.end(span, self.now());
+    self.record.borrow_mut().store_faults.end(span, self.now());
   }
 
   /// Adds a route, as the operators do.
@@ -194,7 +194,7 @@
   }
 
   async fn kill(&self, indexes: &[usize], down_ms: Ms) -> Result {
-    let spans = self.begin_trouble(indexes);
+    let spans = self.begin_faults(indexes);
     for index in indexes {
       self.boxes[*index].kill()?;
     }
@@ -202,7 +202,7 @@
     for index in indexes {
       self.boxes[*index].start()?;
     }
-    self.end_trouble(indexes, &spans);
+    self.end_faults(indexes, &spans);
     Ok(())
   }
 
@@ -237,8 +237,8 @@
     if self.now() <= asked_ms + SoakBox::STOP_MS + LATE_MS {
       return Ok(false);
     }
-    let trouble = self.record.borrow().box_trouble.get(&index).cloned().unwrap_or_default();
-    if !trouble.overlaps(asked_ms, self.now()) {
+    let faults = self.record.borrow().box_faults.get(&index).cloned().unwrap_or_default();
+    if !faults.overlaps(asked_ms, self.now()) {
       self.violate("a planned stop ends in time", format!("box {index} still runs"));
     }
     self.boxes[index].kill()
@@ -254,8 +254,8 @@
   pub(super) async fn end_servers(&self, crash_ms: Ms, for_ms: Ms, kind: Kind, pause_ms: Ms) {
     let number = {
       let mut record = self.record.borrow_mut();
-      record.endings += 1;
-      record.endings
+      record.crashing_requests += 1;
+      record.crashing_requests
     };
     let (method, body) = kind.request(&mut ChaCha8Rng::seed_from_u64(number as u64));
     let path = format!("{}ends-{number}", kind.path());
@@ -270,7 +270,7 @@
         .method(method.clone())
         .uri(&path)
         .header(http::header::HOST, "soak.example")
-        .header(platform::REQUEST_ID, Ending::id(number, index, attempt))
+        .header(platform::REQUEST_ID, CrashingRun::id(number, index, attempt))
         .header(platform::TIME_LEFT_MS, Self::ENDING_TIME_MS)
         .header(platform::CRASH_MS, &crash_ms)
         .body(web::full(body.clone()))
--- a/crates/ferryyoke-soak/src/lib.rs
+++ b/crates/ferryyoke-soak/src/lib.rs
@@ -46,15 +46,17 @@
 };
 
 use self::{
-  ending::Ending, fault_proxy::FaultProxy, stopped_clocks::StoppedClocks, trouble::Trouble,
+  crashing_run::CrashingRun, fault_proxy::FaultProxy, fault_spans::FaultSpans,
+  stopped_clocks::StoppedClocks,
 };
 
 mod caller;
 mod commands;
-mod ending;
+mod crashing_run;
 mod fault_proxy;
+mod fault_spans;
 mod foreign;
-mod harm;
+mod inject;
 mod plan;
 pub mod platform;
 mod record;
@@ -62,7 +64,6 @@
 mod soak_box;
 mod stopped_clocks;
 mod stops;
-mod trouble;
 
 /// Milliseconds since the start of the run.
 type Ms = u64;
--- a/crates/ferryyoke-soak/src/plan.rs
+++ b/crates/ferryyoke-soak/src/plan.rs
@@ -71,13 +71,13 @@
   /// Upper limit of the milliseconds between two faults. Faults may overlap.
   const GAP_MAX_MS: Ms = 1_600;
   /// Upper limit of the milliseconds between two restarts under the same id or foreign writes.
-  const REBIRTH_GAP_MAX_MS: Ms = 3_000;
+  const RESTART_GAP_MAX_MS: Ms = 3_000;
   /// Upper limit of the milliseconds between two crashing requests.
   const ENDING_GAP_MAX_MS: Ms = 9_000;
   /// Upper limit of the milliseconds between two severances of connections.
   const SEVERANCE_GAP_MAX_MS: Ms = 6_000;
   /// Upper limit of the milliseconds between two restores of the store. Two often follow each other closely.
-  const GOING_BACK_GAP_MAX_MS: Ms = 9_000;
+  const RESTORE_GAP_MAX_MS: Ms = 9_000;
   /// Milliseconds without faults at the start, in which the boxes discover each other.
   const QUIET_START_MS: Ms = 1_000;
   /// Milliseconds without new faults at the end, after which everything must work again.
@@ -93,9 +93,9 @@
       at_ms += rng.random_range(50..Self::GAP_MAX_MS);
     }
     steps.extend(Self::severances(seed, boxes, length_ms));
-    steps.extend(Self::rebirths(seed, boxes, length_ms));
+    steps.extend(Self::restarts(seed, boxes, length_ms));
     steps.extend(Self::endings(seed, length_ms));
-    steps.extend(Self::goings_back(seed, length_ms));
+    steps.extend(Self::restores(seed, length_ms));
     steps.sort_by_key(|step| step.at_ms);
     Self { length_ms, steps }
   }
@@ -119,12 +119,12 @@
   }
 
   /// Restores of the store from a copy, beside any other fault. Uses its own random generator.
-  fn goings_back(seed: u64, length_ms: Ms) -> Vec<Step> {
+  fn restores(seed: u64, length_ms: Ms) -> Vec<Step> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed.rotate_left(56));
     let mut steps = Vec::new();
     let mut at_ms = Self::QUIET_START_MS;
     loop {
-      at_ms += rng.random_range(500..Self::GOING_BACK_GAP_MAX_MS);
+      at_ms += rng.random_range(500..Self::RESTORE_GAP_MAX_MS);
       if at_ms + Self::QUIET_END_MS >= length_ms {
         return steps;
       }
@@ -159,12 +159,12 @@
 
   /// Backend servers that restart under the same id, some while their daemon is paused, restarted or cut off, and
   /// foreign writes. Uses its own random generator.
-  fn rebirths(seed: u64, boxes: usize, length_ms: Ms) -> Vec<Step> {
+  fn restarts(seed: u64, boxes: usize, length_ms: Ms) -> Vec<Step> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed.rotate_left(16));
     let mut steps = Vec::new();
     let mut at_ms = Self::QUIET_START_MS;
     loop {
-      at_ms += rng.random_range(200..Self::REBIRTH_GAP_MAX_MS);
+      at_ms += rng.random_range(200..Self::RESTART_GAP_MAX_MS);
       if at_ms + Self::QUIET_END_MS >= length_ms {
         return steps;
       }
@@ -181,8 +181,8 @@
         2 => Fault::Drain { index, keeps_id: true },
         _ => Fault::Foreign(Foreign::random(&mut rng, boxes)),
       };
-      let is_rebirth = !matches!(fault, Fault::Foreign(_));
-      steps.extend(with.filter(|_| is_rebirth).map(|fault| Step { at_ms, fault }));
+      let is_restart = !matches!(fault, Fault::Foreign(_));
+      steps.extend(with.filter(|_| is_restart).map(|fault| Step { at_ms, fault }));
       steps.push(Step { at_ms, fault });
     }
   }
--- a/crates/ferryyoke-soak/src/platform/backend_server.rs
+++ b/crates/ferryyoke-soak/src/platform/backend_server.rs
@@ -6,9 +6,6 @@
 }
 
 struct State {
-  /// When the process started, in milliseconds since 1970. Strictly increases with each restart, also under the same
-  /// id.
-  born_unix_ms: u64,
   control: SocketAddr,
   /// Number of crashes caused by a request or by [`BackendServer::lose_process`].
   crashes: u32,
@@ -24,6 +21,9 @@
   sequence: u64,
   service: String,
   started: Instant,
+  /// When the process started, in milliseconds since 1970. Strictly increases with each restart, also under the same
+  /// id.
+  started_unix_ms: u64,
 }
 
 impl BackendServer {
@@ -52,7 +52,6 @@
     started: Instant,
   ) -> Self {
     let state = Rc::new(RefCell::new(State {
-      born_unix_ms: unix_ms(),
       control,
       crashes: 0,
       front,
@@ -65,6 +64,7 @@
       sequence: 0,
       service: service.into(),
       started,
+      started_unix_ms: unix_ms(),
     }));
     let serving = state.clone();
     web::Server::start(listener, move |request| serve(serving.clone(), request));
@@ -84,7 +84,7 @@
       let is_over = || state.borrow().process() != leaving;
       let acknowledged = || is_over() || state.borrow().record.borrow().left.contains_key(&leaving);
       while !acknowledged() && began.elapsed() < Duration::from_millis(Self::GIVE_UP_MS) {
-        tell(&state).await;
+        send_report(&state).await;
         monoio::time::sleep(Duration::from_millis(100)).await;
       }
       monoio::time::sleep(Duration::from_millis(Self::DRAIN_MS)).await;
@@ -112,8 +112,8 @@
   }
 
   /// Sends a call to the daemon in the name of the process. Returns the status of the answer, or `None` without one.
-  pub async fn say(&self, call: &str, body: &serde_json::Value) -> Option<StatusCode> {
-    say(&self.state, call, body).await
+  pub async fn call_daemon(&self, call: &str, body: &serde_json::Value) -> Option<StatusCode> {
+    call_daemon(&self.state, call, body).await
   }
 
   /// Returns the current process as its id and start time.
@@ -122,8 +122,8 @@
   }
 
   /// Returns the start time of the current process in milliseconds since 1970.
-  pub fn born_unix_ms(&self) -> u64 {
-    self.state.borrow().born_unix_ms
+  pub fn started_unix_ms(&self) -> u64 {
+    self.state.borrow().started_unix_ms
   }
 
   /// Returns the number of crashes caused by a request or by [`Self::lose_process`].
@@ -139,7 +139,7 @@
 
 impl State {
   fn process(&self) -> String {
-    format!("{}@{}", self.instance, self.born_unix_ms)
+    format!("{}@{}", self.instance, self.started_unix_ms)
   }
 
   /// Starts a new process without any state of the former one.
@@ -149,20 +149,20 @@
       let stem = self.instance.rsplit_once('-').map_or("i", |(stem, _)| stem);
       self.instance = format!("{stem}-{}", self.number);
     }
-    self.born_unix_ms = unix_ms().max(self.born_unix_ms + 1);
+    self.started_unix_ms = unix_ms().max(self.started_unix_ms + 1);
     (self.is_down, self.is_leaving, self.sequence) = (false, false, 0);
   }
 }
 
 async fn report(state: Rc<RefCell<State>>) {
   loop {
-    tell(&state).await;
+    send_report(&state).await;
     monoio::time::sleep(Duration::from_millis(BackendServer::REPORT_MS)).await;
   }
 }
 
 /// Sends one report. Records when a daemon first acknowledges that the process drains.
-async fn tell(state: &Rc<RefCell<State>>) {
+async fn send_report(state: &Rc<RefCell<State>>) {
   if state.borrow().is_down {
     return;
   }
@@ -176,11 +176,11 @@
         "Service": state.service, "Slots": BackendServer::SLOTS, "Version": "v1", "Zone": "hall",
       },
       "Status": { "CallSeq": state.sequence, "ColdLeft": "0ms", "State": word },
-      "born": state.born_unix_ms,
+      "born": state.started_unix_ms,
     });
     (state.process(), state.is_leaving, body)
   };
-  let status = say(state, "heartbeat", &body).await;
+  let status = call_daemon(state, "heartbeat", &body).await;
   if is_leaving && status.is_some_and(|status| status.is_success()) {
     let state = state.borrow();
     let now = elapsed_ms(state.started);
@@ -190,11 +190,11 @@
 
 /// Tells the daemon that the process ends.
 async fn deregister(state: &Rc<RefCell<State>>) {
-  let body = serde_json::json!({ "born": state.borrow().born_unix_ms });
-  say(state, "deregister", &body).await;
+  let body = serde_json::json!({ "born": state.borrow().started_unix_ms });
+  call_daemon(state, "deregister", &body).await;
 }
 
-async fn say(
+async fn call_daemon(
   state: &Rc<RefCell<State>>,
   call: &str,
   body: &serde_json::Value,
--- a/crates/ferryyoke-soak/src/record.rs
+++ b/crates/ferryyoke-soak/src/record.rs
@@ -8,7 +8,7 @@
   /// When the store accepted each added route, by the route's number.
   pub changes: Vec<Ms>,
   /// Number of crashing requests (requests that end backend servers).
-  pub endings: usize,
+  pub crashing_requests: usize,
   /// When a daemon acknowledged that an instance drains, by process.
   pub left: BTreeMap<String, Ms>,
   /// Probes for added routes.
@@ -16,11 +16,11 @@
   /// Runs at backend servers.
   pub runs: Vec<Run>,
   /// Faults at the store.
-  pub store_trouble: Trouble,
+  pub store_faults: FaultSpans,
   /// Faults at each box.
-  pub box_trouble: BTreeMap<usize, Trouble>,
+  pub box_faults: BTreeMap<usize, FaultSpans>,
   /// For each box, the spans from a planned stop until its daemon runs again.
-  pub planned: BTreeMap<usize, Trouble>,
+  pub planned: BTreeMap<usize, FaultSpans>,
   /// Planned stops: the box and when its stop began.
   pub stops: Vec<(usize, Ms)>,
   /// Violations found during the run.
@@ -95,7 +95,7 @@
     self.check_drains(&mut found);
     self.check_configuration(&mut found);
     self.check_answers(&mut found);
-    self.check_endings(&mut found);
+    self.check_crashing_requests(&mut found);
     found.sort();
     found.dedup();
     found
@@ -103,14 +103,14 @@
 
   /// Whether a box had no planned stop, and neither it nor the store a fault, during a span and for
   /// [`Self::CONTACT_MS`] before it.
-  fn in_touch(&self, index: usize, from: Ms, to: Ms) -> bool {
+  fn is_connected(&self, index: usize, from: Ms, to: Ms) -> bool {
     let since = from.saturating_sub(Self::CONTACT_MS);
     let is_planned = self.planned.get(&index).is_some_and(|span| span.overlaps(since, to));
-    !is_planned && !self.store_trouble.overlaps(since, to) && !self.had_trouble(index, since, to)
+    !is_planned && !self.store_faults.overlaps(since, to) && !self.had_faults(index, since, to)
   }
 
-  fn had_trouble(&self, index: usize, from: Ms, to: Ms) -> bool {
-    self.box_trouble.get(&index).is_some_and(|trouble| trouble.overlaps(from, to))
+  fn had_faults(&self, index: usize, from: Ms, to: Ms) -> bool {
+    self.box_faults.get(&index).is_some_and(|faults| faults.overlaps(from, to))
   }
 
   fn check_runs(&self, found: &mut Vec<Violation>) {
@@ -135,17 +135,17 @@
   }
 
   /// A request that crashed three processes may reach at most three more through connected boxes.
-  fn check_endings(&self, found: &mut Vec<Violation>) {
-    let runs: Vec<Ending> = self.runs.iter().filter_map(Ending::of).collect();
-    for number in 1..=self.endings {
-      let own: Vec<&Ending> = runs.iter().filter(|run| run.number == number).collect();
+  fn check_crashing_requests(&self, found: &mut Vec<Violation>) {
+    let runs: Vec<CrashingRun> = self.runs.iter().filter_map(CrashingRun::of).collect();
+    for number in 1..=self.crashing_requests {
+      let own: Vec<&CrashingRun> = runs.iter().filter(|run| run.number == number).collect();
       let Some(third) = own.get(Self::ENDED_MAX - 1) else {
         continue;
       };
       let known_ms = third.at_ms + Self::CONTACT_MS + Self::SLACK_MS;
       let late = own
         .iter()
-        .filter(|run| run.at_ms > known_ms && self.in_touch(run.index, run.at_ms, run.at_ms));
+        .filter(|run| run.at_ms > known_ms && self.is_connected(run.index, run.at_ms, run.at_ms));
       let late = late.count();
       if late > Self::RETRIES_MAX {
         let seen = format!(
@@ -186,7 +186,7 @@
       if life.1 != Ms::MAX && probe.route <= life.0 {
         found.push(Violation { promise: "never an older configuration", seen });
       } else if probe.sent_ms > accepted_ms + Self::APPLY_MS + Self::SLACK_MS
-        && self.in_touch(probe.index, accepted_ms, probe.sent_ms)
+        && self.is_connected(probe.index, accepted_ms, probe.sent_ms)
       {
         found.push(Violation { promise: "a change is in force in time", seen });
       }
@@ -197,7 +197,7 @@
     let ran: BTreeSet<&str> = self.runs.iter().map(|run| run.request_id.as_str()).collect();
     for attempt in &self.attempts {
       let took_ms = attempt.ended_ms.saturating_sub(attempt.sent_ms);
-      let calm = !self.had_trouble(attempt.index, attempt.sent_ms, attempt.ended_ms);
+      let calm = !self.had_faults(attempt.index, attempt.sent_ms, attempt.ended_ms);
       let (id, outcome) = (&attempt.id, &attempt.outcome);
       if let Outcome::Wrong(what) = outcome {
         let seen = format!("{id}: {what}");
--- a/crates/ferryyoke-soak/src/run.rs
+++ b/crates/ferryyoke-soak/src/run.rs
@@ -70,10 +70,10 @@
   let faults = plan.steps.len();
   for step in plan.steps {
     run.wait_until(base_ms + step.at_ms).await;
-    let harming = run.clone();
+    let injecting = run.clone();
     monoio::spawn(async move {
-      if let Err(err) = harming.harm(step.fault.clone()).await {
-        harming.violate("the soak itself works", format!("{:?}: {err}", step.fault));
+      if let Err(err) = injecting.inject(step.fault.clone()).await {
+        injecting.violate("the soak itself works", format!("{:?}: {err}", step.fault));
       }
     });
   }
@@ -114,10 +114,10 @@
   }
 
   async fn wait_until_ready(&self) -> Result {
-    const PATIENCE_MS: Ms = 20_000;
+    const MAX_WAIT_MS: Ms = 20_000;
     for one in &self.boxes {
       while !self.is_ready(one).await {
-        if self.now() > PATIENCE_MS {
+        if self.now() > MAX_WAIT_MS {
           let log = one.log();
           return Err(Error::Unexpected(format!("box {} is not ready:\n{log}", one.index)));
         }
--- a/crates/ferryyoke-soak/src/soak_box.rs
+++ b/crates/ferryyoke-soak/src/soak_box.rs
@@ -122,12 +122,12 @@
     }
     self.life.set(self.life.get() + 1);
     let settings = Self::settings_path(&self.directory, self.index).display().to_string();
-    let mut words = vec!["run".into(), "--settings".into(), settings];
+    let mut arguments = vec!["run".into(), "--settings".into(), settings];
     if self.is_suspended_when_stopped.get() {
-      words.insert(0, StoppedClocks::WORD.into());
+      arguments.insert(0, StoppedClocks::WORD.into());
     }
     let log = self.log_path();
-    *self.daemon.borrow_mut() = Some(Process::start(&self.executable, &words, &log)?);
+    *self.daemon.borrow_mut() = Some(Process::start(&self.executable, &arguments, &log)?);
     Ok(())
   }
 
--- a/crates/ferryyoke-soak/tests/crashing_requests.rs
+++ b/crates/ferryyoke-soak/tests/crashing_requests.rs
@@ -21,7 +21,7 @@
 const PAUSE_MS: u64 = 60;
 
 /// Milliseconds for which the caller repeats its request.
-const SPELL_MS: u64 = 12_000;
+const SENDING_MS: u64 = 12_000;
 
 /// Milliseconds within which every connected box learns of a crash at another one.
 const CONTACT_MS: u64 = 3_000;
@@ -42,7 +42,7 @@
 }
 
 /// Sends the crashing request to one box after the other for `for_ms`, whatever the answers are.
-async fn press(fleet: &Fleet, crash_ms: &str, for_ms: u64) {
+async fn repeat_crashing_request(fleet: &Fleet, crash_ms: &str, for_ms: u64) {
   let until = Instant::now() + Duration::from_millis(for_ms);
   let mut number = 0;
   while Instant::now() < until {
@@ -92,7 +92,7 @@
 fn a_request_that_crashed_three_backend_servers_reaches_at_most_three_more() {
   run(async {
     let fleet = fleet().await;
-    press(&fleet, "20", SPELL_MS).await;
+    repeat_crashing_request(&fleet, "20", SENDING_MS).await;
     check_late_runs(&fleet);
   });
 }
@@ -102,11 +102,11 @@
 fn a_restarted_fleet_still_limits_a_crashing_request() {
   run(async {
     let fleet = fleet().await;
-    press(&fleet, "20", SPELL_MS / 4).await;
+    repeat_crashing_request(&fleet, "20", SENDING_MS / 4).await;
     let before = runs_ms(&fleet).len();
     assert!(before >= CRASHES_MAX - 1, "{before} runs");
     (0..BOXES).for_each(|index| fleet.restart(index));
-    press(&fleet, "20", SPELL_MS * 3 / 4).await;
+    repeat_crashing_request(&fleet, "20", SENDING_MS * 3 / 4).await;
     check_late_runs(&fleet);
   });
 }
@@ -126,9 +126,9 @@
 fn other_requests_are_served_beside_a_crashing_request() {
   run(async {
     let fleet = fleet().await;
-    let pressing = press(&fleet, "20", SPELL_MS);
-    let asking = ask_beside(&fleet, 2 * CONTACT_MS, SPELL_MS);
-    let ((), others) = futures_util::future::join(pressing, asking).await;
+    let repeating = repeat_crashing_request(&fleet, "20", SENDING_MS);
+    let asking = ask_beside(&fleet, 2 * CONTACT_MS, SENDING_MS);
+    let ((), others) = futures_util::future::join(repeating, asking).await;
     println!("{others:?}");
     assert!(others.served * 100 >= others.sent * 95, "{others:?}");
     assert_eq!(others.held_back, 0, "{others:?}");
--- a/crates/ferryyoke-soak/tests/foreign_writer.rs
+++ b/crates/ferryyoke-soak/tests/foreign_writer.rs
@@ -21,10 +21,10 @@
 const IN_FORCE_MS: u64 = 2_000;
 
 /// Milliseconds for an invalid item to take effect: several rounds of periodic reads.
-const HARM_MS: u64 = 3_000;
+const EFFECT_MS: u64 = 3_000;
 
 /// Upper limit in milliseconds for steps whose speed isn't under test.
-const PATIENCE_MS: u64 = 20_000;
+const MAX_WAIT_MS: u64 = 20_000;
 
 /// Paths of routes that every version has, one for each service.
 const KNOWN: [&str; 2] = ["/read/", "/send/"];
@@ -53,7 +53,7 @@
 
 async fn wait_until_served(fleet: &Fleet, index: usize) {
   for path in KNOWN {
-    fleet.ask_until(index, path, soon(PATIENCE_MS), Answer::is_served).await;
+    fleet.ask_until(index, path, soon(MAX_WAIT_MS), Answer::is_served).await;
   }
 }
 
@@ -86,7 +86,7 @@
       check_change(&fleet, 2 * round + 2).await;
 
       fleet.write_foreign("op/config", &fields);
-      pause(HARM_MS).await;
+      pause(EFFECT_MS).await;
       let starting = usize::try_from(round).expect("a small number");
       fleet.restart(starting);
       wait_until_served(&fleet, starting).await;
@@ -104,7 +104,7 @@
     let fleet = fleet().await;
     for (version, fields) in (2..).zip(unreadable()) {
       fleet.write_foreign(&format!("mesh/boxes/foreign-{version}"), &fields);
-      pause(HARM_MS).await;
+      pause(EFFECT_MS).await;
       let starting = usize::try_from(version).expect("a small number");
       fleet.restart(starting);
       wait_until_served(&fleet, starting).await;
--- a/crates/ferryyoke-soak/tests/narrow_stops.rs
+++ b/crates/ferryyoke-soak/tests/narrow_stops.rs
@@ -34,7 +34,7 @@
 const CALLER_MS: u64 = 6_000;
 
 /// Milliseconds for which callers send requests.
-const SPELL_MS: u64 = 14_000;
+const SENDING_MS: u64 = 14_000;
 
 /// Milliseconds between two requests at each box. The total is two and a half times the links' bandwidth.
 const PAUSE_MS: u64 = 70;
@@ -52,7 +52,7 @@
 const SERVING: usize = 0;
 
 /// Upper limit in milliseconds for steps whose speed isn't under test.
-const PATIENCE_MS: u64 = 20_000;
+const MAX_WAIT_MS: u64 = 20_000;
 
 /// The result of a request as its caller saw it.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
@@ -105,10 +105,10 @@
   Seen { index, outcome, request_id, sent_at }
 }
 
-/// Sends requests to one box for [`SPELL_MS`] without waiting for earlier ones. Returns their outcomes.
+/// Sends requests to one box for [`SENDING_MS`] without waiting for earlier ones. Returns their outcomes.
 async fn call(fleet: Rc<Fleet>, index: usize) -> Vec<Seen> {
   let seen: Rc<RefCell<Vec<Seen>>> = Rc::default();
-  let until = Instant::now() + Duration::from_millis(SPELL_MS);
+  let until = Instant::now() + Duration::from_millis(SENDING_MS);
   let mut under_way = Vec::new();
   for number in index.. {
     if Instant::now() >= until {
@@ -191,8 +191,8 @@
       fleet.write_timeout(1, "20s");
       fleet.start(ENTRY);
       fleet.start(SERVING);
-      fleet.ask_until(ENTRY, "/read/", soon(PATIENCE_MS), Answer::is_served).await;
-      fleet.ask_until(ENTRY, "/send/", soon(PATIENCE_MS), Answer::is_served).await;
+      fleet.ask_until(ENTRY, "/read/", soon(MAX_WAIT_MS), Answer::is_served).await;
+      fleet.ask_until(ENTRY, "/send/", soon(MAX_WAIT_MS), Answer::is_served).await;
       fleet.boxes[stopped].signal("TERM").expect("a signal");
       monoio::time::sleep(Duration::from_millis(LATER_MS)).await;
       let (index, path) = (ENTRY, "/read/long");
--- a/crates/ferryyoke-soak/tests/reborn.rs
+++ b/crates/ferryyoke-soak/tests/reborn.rs
@@ -21,7 +21,7 @@
 const BOXES: usize = 2;
 
 /// The box whose backend server restarts, and a path of its service.
-const REBORN: (usize, &str) = (0, "/read/");
+const RESTARTED: (usize, &str) = (0, "/read/");
 
 /// Milliseconds within which a started process gets work: a report, a health check, and an update to other boxes.
 const TAKEN_MS: u64 = 2_000;
@@ -33,14 +33,14 @@
 const REPORTED_MS: u64 = 1_500;
 
 /// Upper limit in milliseconds for steps whose speed isn't under test.
-const PATIENCE_MS: u64 = 20_000;
+const MAX_WAIT_MS: u64 = 20_000;
 
 async fn fleet() -> Fleet {
   let fleet = Fleet::prepare(BOXES);
   fleet.write(1, 0, "safe");
   (0..BOXES).for_each(|index| fleet.start(index));
   for index in 0..BOXES {
-    fleet.ask_until(index, REBORN.1, soon(PATIENCE_MS), Answer::is_served).await;
+    fleet.ask_until(index, RESTARTED.1, soon(MAX_WAIT_MS), Answer::is_served).await;
   }
   fleet
 }
@@ -70,7 +70,7 @@
   call: &str,
   body: impl Into<bytes::Bytes>,
 ) -> StatusCode {
-  let control = fleet.boxes[REBORN.0].control;
+  let control = fleet.boxes[RESTARTED.0].control;
   let request = Request::post(format!("/ferryyoke/instances/{instance}/{call}"))
     .header(http::header::HOST, control.to_string())
     .body(web::full(body.into()))
@@ -83,9 +83,9 @@
 async fn check_taken(fleet: &Fleet) {
   let until = soon(TAKEN_MS);
   for index in 0..BOXES {
-    fleet.ask_until(index, REBORN.1, until, Answer::is_served).await;
+    fleet.ask_until(index, RESTARTED.1, until, Answer::is_served).await;
   }
-  let process = fleet.boxes[REBORN.0].backend_server.process();
+  let process = fleet.boxes[RESTARTED.0].backend_server.process();
   let record = fleet.record.borrow();
   let last = record.runs.iter().rev().find(|run| run.instance.starts_with("i-box0"));
   assert_eq!(last.map(|run| run.instance.as_str()), Some(process.as_str()));
@@ -97,7 +97,7 @@
     let fleet = fleet().await;
     for down_ms in [100, 700, 2_500] {
       pause(2_000).await;
-      fleet.boxes[REBORN.0].crash_backend_server(down_ms).await;
+      fleet.boxes[RESTARTED.0].crash_backend_server(down_ms).await;
       check_taken(&fleet).await;
     }
   });
@@ -108,7 +108,7 @@
   run(async {
     let fleet = fleet().await;
     for _ in 0..2 {
-      let server = &fleet.boxes[REBORN.0].backend_server;
+      let server = &fleet.boxes[RESTARTED.0].backend_server;
       let before = server.process();
       server.replace(true);
       while server.process() == before {
@@ -125,8 +125,8 @@
   run(async {
     let fleet = fleet().await;
     pause(4_000).await;
-    let server = &fleet.boxes[REBORN.0].backend_server;
-    fleet.boxes[REBORN.0].crash_backend_server(100).await;
+    let server = &fleet.boxes[RESTARTED.0].backend_server;
+    fleet.boxes[RESTARTED.0].crash_backend_server(100).await;
     check_taken(&fleet).await;
     let process = server.process();
     server.replace(false);
@@ -139,12 +139,12 @@
     pause(DRAIN_MS).await;
     for index in 0..BOXES {
       // Whether the successor already answers isn't under test.
-      fleet.ask(index, REBORN.1).await.ok();
+      fleet.ask(index, RESTARTED.1).await.ok();
     }
     let record = fleet.record.borrow();
     let late = record.runs.iter().filter(|run| run.instance == process);
     let late = late.filter(|run| run.at_ms > left_ms + DRAIN_MS).count();
-    assert_eq!(late, 0, "{}", fleet.boxes[REBORN.0].log());
+    assert_eq!(late, 0, "{}", fleet.boxes[RESTARTED.0].log());
   });
 }
 
@@ -153,9 +153,9 @@
 fn late_reports_of_the_former_process_change_nothing() {
   run(async {
     let fleet = fleet().await;
-    let server = &fleet.boxes[REBORN.0].backend_server;
-    let former = server.born_unix_ms();
-    fleet.boxes[REBORN.0].crash_backend_server(100).await;
+    let server = &fleet.boxes[RESTARTED.0].backend_server;
+    let former = server.started_unix_ms();
+    fleet.boxes[RESTARTED.0].crash_backend_server(100).await;
     check_taken(&fleet).await;
     // The current process must have reported first: until then the late reports are the newest.
     pause(REPORTED_MS).await;
@@ -163,11 +163,11 @@
     for sequence in [1, 2, 300, 301, 302, 303] {
       let body = report(former, sequence, "draining").to_string();
       assert_eq!(call(&fleet, &instance, "heartbeat", body).await, StatusCode::OK);
-      fleet.ask_once(REBORN.0, REBORN.1, Answer::is_served).await;
+      fleet.ask_once(RESTARTED.0, RESTARTED.1, Answer::is_served).await;
     }
     let body = json!({ "born": former }).to_string();
     assert_eq!(call(&fleet, &instance, "deregister", body).await, StatusCode::OK);
-    fleet.ask_once(REBORN.0, REBORN.1, Answer::is_served).await;
+    fleet.ask_once(RESTARTED.0, RESTARTED.1, Answer::is_served).await;
   });
 }
 
@@ -211,19 +211,22 @@
 fn reports_of_foreign_writers_are_refused_and_change_nothing() {
   run(async {
     let fleet = fleet().await;
-    let server = &fleet.boxes[REBORN.0].backend_server;
-    for body in foreign(server.born_unix_ms()) {
+    let server = &fleet.boxes[RESTARTED.0].backend_server;
+    for body in foreign(server.started_unix_ms()) {
       let text = String::from_utf8_lossy(&body).chars().take(120).collect::<String>();
       let status = call(&fleet, &server.instance(), "heartbeat", body).await;
       assert!(status.is_client_error(), "{status}: {text}");
-      fleet.ask_once(REBORN.0, REBORN.1, Answer::is_served).await;
+      fleet.ask_once(RESTARTED.0, RESTARTED.1, Answer::is_served).await;
     }
     for body in ["{\"born\":\"soon\"}", "{\"born\":null}", "[]", "\u{1}"] {
       let status = call(&fleet, &server.instance(), "deregister", body).await;
       assert!(status.is_client_error(), "{status}: {body}");
-      fleet.ask_once(REBORN.0, REBORN.1, Answer::is_served).await;
+      fleet.ask_once(RESTARTED.0, RESTARTED.1, Answer::is_served).await;
     }
-    assert!(fleet.boxes[REBORN.0].exit_code().expect("a process").is_none(), "the daemon exited");
+    assert!(
+      fleet.boxes[RESTARTED.0].exit_code().expect("a process").is_none(),
+      "the daemon exited"
+    );
     check_taken(&fleet).await;
   });
 }
@@ -233,14 +236,14 @@
 fn reports_of_unknown_processes_change_nothing() {
   run(async {
     let fleet = fleet().await;
-    let born = fleet.boxes[REBORN.0].backend_server.born_unix_ms();
+    let born = fleet.boxes[RESTARTED.0].backend_server.started_unix_ms();
     for (born, state) in
       [(1, "ready"), (1, "draining"), (born + 60_000, "ready"), (u64::MAX, "draining")]
     {
       for sequence in 1..5 {
         let body = report(born, sequence, state).to_string();
         call(&fleet, "i-foreign", "heartbeat", body).await;
-        fleet.ask_once(REBORN.0, REBORN.1, Answer::is_served).await;
+        fleet.ask_once(RESTARTED.0, RESTARTED.1, Answer::is_served).await;
       }
     }
     pause(1_000).await;
@@ -274,14 +277,14 @@
   run(async {
     let fleet = fleet().await;
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let server = &fleet.boxes[REBORN.0].backend_server;
+    let server = &fleet.boxes[RESTARTED.0].backend_server;
     for round in 0..600 {
-      let body = damaged(&mut rng, server.born_unix_ms());
+      let body = damaged(&mut rng, server.started_unix_ms());
       let text = String::from_utf8_lossy(&body).into_owned();
       let status = call(&fleet, &server.instance(), "heartbeat", body).await;
       assert!(status.is_success() || status.is_client_error(), "{status}: {text}");
       if round % 20 == 0 {
-        fleet.ask_once(REBORN.0, REBORN.1, Answer::is_served).await;
+        fleet.ask_once(RESTARTED.0, RESTARTED.1, Answer::is_served).await;
       }
     }
     check_taken(&fleet).await;
--- a/crates/ferryyoke-soak/tests/refused_version.rs
+++ b/crates/ferryyoke-soak/tests/refused_version.rs
@@ -37,7 +37,7 @@
 const IN_FORCE_MS: u64 = 2_500;
 
 /// Upper limit in milliseconds for steps whose speed isn't under test.
-const PATIENCE_MS: u64 = 20_000;
+const MAX_WAIT_MS: u64 = 20_000;
 
 /// Whether the answer says that the request didn't run because the refused version may have its route.
 fn is_behind(answer: &Answer) -> bool {
@@ -49,14 +49,14 @@
 /// Waits until a started box has a configuration and reaches the backend servers.
 async fn wait_until_served(fleet: &Fleet, index: usize) {
   for path in KNOWN {
-    fleet.ask_until(index, path, soon(PATIENCE_MS), Answer::is_served).await;
+    fleet.ask_until(index, path, soon(MAX_WAIT_MS), Answer::is_served).await;
   }
 }
 
 /// Checks that a box knows of the refused version, and that the one before it is in force.
 async fn check_behind(fleet: &Fleet, index: usize) {
   let new_path = platform::added_path(1);
-  fleet.ask_until(index, &new_path, soon(PATIENCE_MS), is_behind).await;
+  fleet.ask_until(index, &new_path, soon(MAX_WAIT_MS), is_behind).await;
   fleet.ask_once(index, UNKNOWN, is_behind).await;
   for path in KNOWN {
     let is_by_first = |answer: &Answer| {
--- a/crates/ferryyoke-soak/tests/silent_connections.rs
+++ b/crates/ferryyoke-soak/tests/silent_connections.rs
@@ -24,7 +24,7 @@
 const ONCE: &str = "/send/";
 
 /// Upper limit in milliseconds for steps whose speed isn't under test.
-const PATIENCE_MS: u64 = 20_000;
+const MAX_WAIT_MS: u64 = 20_000;
 
 /// Milliseconds that daemons run first: just after its start, a daemon cannot tell which requests reached it before the
 /// start.
@@ -41,7 +41,7 @@
   }
   for index in 0..BOXES {
     for path in [ONCE, "/read/"] {
-      fleet.ask_until(index, path, soon(PATIENCE_MS), Answer::is_served).await;
+      fleet.ask_until(index, path, soon(MAX_WAIT_MS), Answer::is_served).await;
     }
   }
   monoio::time::sleep(Duration::from_millis(REMEMBERED_MS)).await;
--- a/crates/ferryyoke-soak/tests/soak.rs
+++ b/crates/ferryyoke-soak/tests/soak.rs
@@ -69,13 +69,13 @@
   let with = |late: u64| {
     let early = [1_000, 1_100, 1_200].map(ending);
     let runs = early.into_iter().chain((0..late).map(|number| ending(6_000 + number))).collect();
-    Record { endings: 1, runs, ..Record::default() }
+    Record { crashing_requests: 1, runs, ..Record::default() }
   };
   assert_eq!(promises(&mut with(3)), [""; 0]);
   assert_eq!(promises(&mut with(4)), ["a request that ends servers is held back"]);
-  let mut troubled = with(4);
-  troubled.box_trouble.entry(0).or_default().touch(5_000);
-  assert_eq!(promises(&mut troubled), [""; 0]);
+  let mut faulty = with(4);
+  faulty.box_faults.entry(0).or_default().add_moment(5_000);
+  assert_eq!(promises(&mut faulty), [""; 0]);
 }
 
 fn probe(sent_ms: u64, route: usize, known: bool) -> Probe {
@@ -86,7 +86,7 @@
 fn an_older_configuration_is_detected_also_during_faults() {
   let probes = vec![probe(5_000, 2, true), probe(5_200, 1, false)];
   let mut record = Record { changes: vec![0, 4_000, 4_500], probes, ..Record::default() };
-  record.box_trouble.entry(0).or_default().begin(0);
+  record.box_faults.entry(0).or_default().begin(0);
   assert_eq!(promises(&mut record), ["never an older configuration"]);
 }
 
@@ -98,11 +98,11 @@
     ..Record::default()
   };
   assert_eq!(promises(&mut late()), ["a change is in force in time"]);
-  let mut troubled = late();
-  troubled.box_trouble.entry(0).or_default().touch(8_000);
-  assert_eq!(promises(&mut troubled), [""; 0]);
+  let mut faulty = late();
+  faulty.box_faults.entry(0).or_default().add_moment(8_000);
+  assert_eq!(promises(&mut faulty), [""; 0]);
   let mut stopped = late();
-  stopped.planned.entry(0).or_default().touch(8_000);
+  stopped.planned.entry(0).or_default().add_moment(8_000);
   assert_eq!(promises(&mut stopped), [""; 0]);
 }
 
--- a/crates/ferryyoke-soak/tests/store_goes_back.rs
+++ b/crates/ferryyoke-soak/tests/store_goes_back.rs
@@ -27,7 +27,7 @@
 const SLACK_MS: u64 = 300;
 
 /// Upper limit in milliseconds for steps whose speed isn't under test.
-const PATIENCE_MS: u64 = 20_000;
+const MAX_WAIT_MS: u64 = 20_000;
 
 fn holds_all(fleet: &Fleet) -> bool {
   (0..BOXES.1).all(|index| fleet.store.holds(&platform::entry_key(index)))
@@ -39,15 +39,15 @@
   fleet.write(1, 0, "safe");
   (0..BOXES.0).for_each(|index| fleet.start(index));
   for index in 0..BOXES.0 {
-    fleet.ask_until(index, "/read/", soon(PATIENCE_MS), Answer::is_served).await;
+    fleet.ask_until(index, "/read/", soon(MAX_WAIT_MS), Answer::is_served).await;
   }
   fleet.store.keep_copy();
   (BOXES.0..BOXES.1).for_each(|index| fleet.start(index));
   fleet.write(4, 1, "safe");
   for index in 0..BOXES.1 {
-    fleet.ask_until(index, "/added-1/", soon(PATIENCE_MS), Answer::is_served).await;
+    fleet.ask_until(index, "/added-1/", soon(MAX_WAIT_MS), Answer::is_served).await;
   }
-  let until = soon(PATIENCE_MS);
+  let until = soon(MAX_WAIT_MS);
   while !holds_all(&fleet) {
     assert!(Instant::now() < until, "some boxes wrote no entry");
     pause(LOOK_MS).await;
--- a/crates/ferryyoke-soak/tests/support/mod.rs
+++ b/crates/ferryyoke-soak/tests/support/mod.rs
@@ -74,11 +74,11 @@
   /// Starts all boxes, and waits until each serves with version 1 of the configuration.
   pub async fn serve(&self) {
     /// Upper limit in milliseconds for steps whose speed isn't under test.
-    const PATIENCE_MS: u64 = 20_000;
+    const MAX_WAIT_MS: u64 = 20_000;
     self.write(1, 0, "safe");
     (0..self.boxes.len()).for_each(|index| self.start(index));
     for index in 0..self.boxes.len() {
-      self.ask_until(index, "/read/", soon(PATIENCE_MS), Answer::is_served).await;
+      self.ask_until(index, "/read/", soon(MAX_WAIT_MS), Answer::is_served).await;
     }
   }
 
--- a/crates/ferryyoke-soak/tests/suspended_box.rs
+++ b/crates/ferryyoke-soak/tests/suspended_box.rs
@@ -20,10 +20,10 @@
 
 /// Milliseconds of the suspension while a caller waits at the box: past the request's deadline, but shorter than the
 /// caller waits.
-const ASLEEP_MS: u64 = 3_000;
+const SUSPENDED_MS: u64 = 3_000;
 
 /// Milliseconds of the suspension while others serve: long enough for its neighbours to consider it silent.
-const LONG_ASLEEP_MS: u64 = 5_000;
+const LONG_SUSPENDED_MS: u64 = 5_000;
 
 /// Milliseconds after the box resumes within which overdue requests must be answered.
 const ANSWERED_MS: u64 = 1_000;
@@ -59,7 +59,7 @@
     };
     let suspending = async {
       pause(ANSWER_MS / 4).await;
-      suspend(&fleet, ASLEEP_MS).await
+      suspend(&fleet, SUSPENDED_MS).await
     };
     let ((answer, answered_at), back_at) = futures_util::future::join(asking, suspending).await;
     let late = answered_at.saturating_duration_since(back_at);
@@ -81,7 +81,7 @@
   run(async {
     let fleet = fleet().await;
     let asking = async {
-      let until = soon(LONG_ASLEEP_MS + 3_000);
+      let until = soon(LONG_SUSPENDED_MS + 3_000);
       let (mut asked, mut number, mut not_served) = (0, 0, Vec::new());
       while Instant::now() < until {
         number += 1;
@@ -98,7 +98,7 @@
       (asked, not_served)
     };
     let suspending = async {
-      suspend(&fleet, LONG_ASLEEP_MS).await;
+      suspend(&fleet, LONG_SUSPENDED_MS).await;
       fleet.ask_until(SUSPENDED, "/read/x", soon(ANSWERED_MS), Answer::is_served).await;
     };
     let ((asked, not_served), ()) = futures_util::future::join(asking, suspending).await;
