--- a/crates/ferryyoke-bench/src/commands/at_most_once.rs
+++ b/crates/ferryyoke-bench/src/commands/at_most_once.rs
@@ -1,8 +1,8 @@
-//! How many requests that must run at most once a fleet carries, and that none runs twice.
+//! Measures how many requests with idempotency keys a fleet serves, and counts keys that ran twice.
 
 use super::*;
 
-/// Seconds of the load.
+/// Duration of the load in seconds.
 const SECONDS: u64 = 8;
 
 pub fn arguments() -> Command {
@@ -14,9 +14,9 @@
     .arg(json())
 }
 
-/// What all callers saw.
+/// Number of responses by outcome.
 #[derive(Default)]
-struct Seen {
+struct OutcomeCounts {
   answered: u64,
   not_run: u64,
   other: u64,
@@ -27,13 +27,13 @@
   fleet.configure().await?;
   let callers = get(matches, "callers");
   let started = Instant::now();
-  let calling = (0..callers).map(|caller| call(&fleet, caller, started));
-  let mut seen = Seen::default();
-  for one in futures_util::future::join_all(calling).await {
+  let calls = (0..callers).map(|caller| call(&fleet, caller, started));
+  let mut counts = OutcomeCounts::default();
+  for one in futures_util::future::join_all(calls).await {
     let one = one?;
-    seen.answered += one.answered;
-    seen.not_run += one.not_run;
-    seen.other += one.other;
+    counts.answered += one.answered;
+    counts.not_run += one.not_run;
+    counts.other += one.other;
   }
   let seconds = started.elapsed().as_secs_f64();
   let mut runs: BTreeMap<String, u64> = BTreeMap::new();
@@ -49,32 +49,32 @@
     "callers": callers,
     "store_writes_per_s_limit": StoreServer::WRITES_PER_SECOND,
     "keys_run_per_s": count(runs.len()) / seconds,
-    "answered_per_s": count_u64(seen.answered) / seconds,
-    "refused_as_not_run_per_s": count_u64(seen.not_run) / seconds,
-    "running_or_unknown_per_s": count_u64(seen.other) / seconds,
+    "answered_per_s": count_u64(counts.answered) / seconds,
+    "refused_as_not_run_per_s": count_u64(counts.not_run) / seconds,
+    "running_or_unknown_per_s": count_u64(counts.other) / seconds,
     "keys_run_twice": runs.values().filter(|count| **count > 1).count(),
   }));
   Ok(())
 }
 
-/// One caller: each key goes through two daemons, one after the other.
-async fn call(fleet: &Fleet, caller: usize, started: Instant) -> Result<Seen> {
-  let mut seen = Seen::default();
+/// Runs one caller, which sends each key through two daemons, one after the other.
+async fn call(fleet: &Fleet, caller: usize, started: Instant) -> Result<OutcomeCounts> {
+  let mut counts = OutcomeCounts::default();
   for number in 0.. {
     if started.elapsed().as_secs() >= SECONDS {
       break;
     }
     let key = format!("key-{caller}-{number}");
-    for turn in 0..2 {
-      let one = &fleet.boxes[(caller + turn) % fleet.boxes.len()];
+    for attempt in 0..2 {
+      let one = &fleet.boxes[(caller + attempt) % fleet.boxes.len()];
       let (status, body) = one.post_once(&format!("/certify/{key}"), &key, "a transcript").await?;
       let is_not_run = String::from_utf8_lossy(&body).contains("not-run");
       match status {
-        StatusCode::OK => seen.answered += 1,
-        _ if is_not_run => seen.not_run += 1,
-        _ => seen.other += 1,
+        StatusCode::OK => counts.answered += 1,
+        _ if is_not_run => counts.not_run += 1,
+        _ => counts.other += 1,
       }
     }
   }
-  Ok(seen)
+  Ok(counts)
 }
--- a/crates/ferryyoke-bench/src/commands/balance.rs
+++ b/crates/ferryyoke-bench/src/commands/balance.rs
@@ -1,7 +1,7 @@
-//! How the product's choice of backend servers compares with plain ones, on the decisions alone.
+//! Compares ferryyoke's load balancing with simpler strategies in a simulation, without processes.
 //!
-//! Eight daemons send to six backend servers of twelve slots. One of them is slow, one is slow and
-//! reports that it is idle, and one is cold for the first seconds.
+//! Eight daemons send to six backend servers with twelve slots each. One server is slow, one is
+//! slow but reports that it is idle, and one is slow for its first five seconds.
 
 use super::*;
 
@@ -18,14 +18,15 @@
 const DAEMONS: usize = 8;
 const SERVERS: usize = 6;
 const SLOTS: usize = 12;
+/// Requests that may wait at each backend server.
 const QUEUE: usize = 24;
-/// Microseconds that a request takes on a good backend server.
+/// Mean time of a request on a normal backend server, in microseconds.
 const WORK_US: u64 = 10_000;
-/// Milliseconds until an answer should be there: four times what a good backend server takes.
+/// Deadline of a request in milliseconds: four times the mean time on a normal backend server.
 const TARGET_MS: u64 = 40;
-/// Virtual seconds of a run.
+/// Simulated seconds per run.
 const SECONDS: u64 = 30;
-/// The share of all slots that the load keeps busy, were all backend servers good.
+/// Share of all slots that the load would keep busy if every backend server were normal.
 const LOAD: f64 = 0.5;
 
 pub fn arguments() -> Command {
@@ -37,7 +38,7 @@
 
 #[derive(Clone, Copy, Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
-enum Way {
+enum Strategy {
   LeastRequests,
   Product,
   Random,
@@ -45,17 +46,19 @@
 }
 
 pub fn measure(matches: &ArgMatches) {
-  for way in [Way::Product, Way::LeastRequests, Way::Random, Way::RoundRobin] {
+  for strategy in
+    [Strategy::Product, Strategy::LeastRequests, Strategy::Random, Strategy::RoundRobin]
+  {
     let (mut p50, mut p99, mut refused) = (Sample::default(), Sample::default(), Sample::default());
     for seed in 0..get(matches, "runs") {
-      let run = Run::new(way, seed as u64).finish();
+      let run = Simulation::new(strategy, seed as u64).finish();
       p50.add(run.quantile_ms(0.5));
       p99.add(run.quantile_ms(0.99));
       refused.add(count_u64(run.failed) / count_u64(run.failed + run.latency_us.len()));
     }
     print(&serde_json::json!({
       "measure": "balance",
-      "way": way,
+      "way": strategy,
       "p50_ms": p50.spread(),
       "p99_ms": p99.spread(),
       "refused_share": refused.spread(),
@@ -63,33 +66,35 @@
   }
 }
 
-/// What one daemon keeps.
+/// The state of one simulated daemon.
 struct Daemon {
   balancer: Balancer,
   in_flight: [u32; SERVERS],
   next: usize,
 }
 
+/// A simulated backend server.
 struct Server {
-  /// When each slot is free again, in microseconds.
+  /// When each slot becomes free, in microseconds.
   free_at_us: [u64; SLOTS],
-  /// When each waiting request gets its slot.
+  /// When each queued request gets a slot, in microseconds.
   waiting_until_us: Vec<u64>,
 }
 
-struct Run {
+struct Simulation {
   daemons: Vec<Daemon>,
   endpoints: Vec<Endpoint>,
-  /// Ends of requests: when, in order of arrival, at which daemon and server, and how long it took.
+  /// Requests in progress: end time in microseconds and arrival number, mapped to the daemon, the
+  /// server and the latency in microseconds.
   ends: BTreeMap<(u64, u64), (usize, usize, u64)>,
   result: LoadResult,
   rng: ChaCha8Rng,
   servers: Vec<Server>,
-  way: Way,
+  strategy: Strategy,
 }
 
-impl Run {
-  fn new(way: Way, seed: u64) -> Self {
+impl Simulation {
+  fn new(strategy: Strategy, seed: u64) -> Self {
     let daemon = |_| Daemon { balancer: Balancer::default(), in_flight: [0; SERVERS], next: 0 };
     let server = |_| Server { free_at_us: [0; SLOTS], waiting_until_us: Vec::new() };
     Self {
@@ -99,7 +104,7 @@
       result: LoadResult::new(),
       rng: ChaCha8Rng::seed_from_u64(seed),
       servers: (0..SERVERS).map(server).collect(),
-      way,
+      strategy,
     }
   }
 
@@ -157,18 +162,18 @@
 
   fn choose(&mut self, now_us: u64, daemon: usize) -> usize {
     let daemon = &mut self.daemons[daemon];
-    match self.way {
-      Way::LeastRequests => {
+    match self.strategy {
+      Strategy::LeastRequests => {
         let fewest = daemon.in_flight.iter().copied().min().unwrap_or(0);
         let best: Vec<usize> =
           (0..SERVERS).filter(|server| daemon.in_flight[*server] == fewest).collect();
         best[self.rng.random_range(0..best.len())]
       }
-      Way::Product => {
+      Strategy::Product => {
         let candidates: Vec<&Endpoint> = self.endpoints.iter().collect();
         let hall = &self.endpoints[0].peer.data_hall;
         let now = Time(now_us / 1_000);
-        let stakes = SelectionCriteria {
+        let criteria = SelectionCriteria {
           answer_bytes: 0,
           body_bytes: 0,
           due_ms: TARGET_MS,
@@ -176,12 +181,12 @@
           repeatable: true,
         };
         let choice =
-          daemon.balancer.choose(now, &candidates, hall, &stakes, |_| None, &mut self.rng);
-        let chosen = choice.chosen.expect("no backend server is unusable");
-        self.endpoints.iter().position(|one| *one == chosen).expect("a candidate")
+          daemon.balancer.choose(now, &candidates, hall, &criteria, |_| None, &mut self.rng);
+        let chosen = choice.chosen.expect("every backend server is usable");
+        self.endpoints.iter().position(|one| *one == chosen).expect("the choice is a candidate")
       }
-      Way::Random => self.rng.random_range(0..SERVERS),
-      Way::RoundRobin => {
+      Strategy::Random => self.rng.random_range(0..SERVERS),
+      Strategy::RoundRobin => {
         daemon.next += 1;
         daemon.next % SERVERS
       }
@@ -192,22 +197,23 @@
     self.endpoints[server].peer.box_id.clone()
   }
 
-  /// Server 0 is slow, server 1 is slow and says nothing of it, server 2 is cold at first.
+  /// Returns how long a request takes on a server. Servers 0 and 1 are slow (server 1 reports no
+  /// load), and server 2 is slow for the first five seconds.
   #[allow(clippy::cast_precision_loss, clippy::cast_possible_truncation, clippy::cast_sign_loss)]
   fn work_us(&mut self, now_us: u64, server: usize) -> u64 {
-    let times = match server {
+    let slowdown = match server {
       0 => 5.0,
       1 => 3.0,
       2 if now_us < 5_000_000 => 4.0,
       _ => 1.0,
     };
     let spread = 0.5 + self.rng.random::<f64>();
-    (WORK_US as f64 * times * spread) as u64
+    (WORK_US as f64 * slowdown * spread) as u64
   }
 }
 
 impl Server {
-  /// When a request that arrives now ends; nothing where the queue is full.
+  /// Adds a request and returns when it ends, in microseconds; `None` if the queue is full.
   fn take(&mut self, now_us: u64, work_us: u64) -> Option<u64> {
     self.waiting_until_us.retain(|until| *until > now_us);
     let slot = self.free_at_us.iter_mut().min_by_key(|free_at| **free_at)?;
@@ -222,7 +228,7 @@
     Some(*slot)
   }
 
-  /// The load in percent that the server reports. Server 1 lies.
+  /// Returns the load in percent that the server reports. Server 1 always reports 0.
   fn reported_load(&self, now_us: u64, server: usize) -> u32 {
     if server == 1 {
       return 0;
@@ -233,7 +239,7 @@
 }
 
 fn endpoint(index: usize) -> Endpoint {
-  let port = 1 + u16::try_from(index).expect("few servers");
+  let port = 1 + u16::try_from(index).expect("the index fits a port");
   let address = ([127, 0, 0, 1], port).into();
   Endpoint {
     backend_starts: 0,
@@ -243,13 +249,13 @@
     incarnation: Incarnation(1),
     peer: Peer {
       address,
-      box_id: format!("box-{index}").parse().expect("a name"),
-      data_hall: "hall".parse().expect("a name"),
+      box_id: format!("box-{index}").parse().expect("a valid name"),
+      data_hall: "hall".parse().expect("a valid name"),
     },
-    region: "region".parse().expect("a name"),
+    region: "region".parse().expect("a valid name"),
     relay: None,
     sequence: 1,
-    service: "service".parse().expect("a name"),
+    service: "service".parse().expect("a valid name"),
     slots: 12,
     software: None,
     state: EndpointState::Live,
--- a/crates/ferryyoke-bench/src/commands/capacity.rs
+++ b/crates/ferryyoke-bench/src/commands/capacity.rs
@@ -1,23 +1,27 @@
-//! What each role of a daemon takes at the design's size, from slopes measured at several sizes.
+//! Estimates the resource use of each daemon role at the design size, by extrapolating linear fits
+//! over several smaller fleets.
 
 use super::*;
 
-/// Boxes and data halls of the fleets that are measured.
+/// Boxes and data halls of the measured fleets.
 const FLEETS: [(usize, usize); 4] = [(12, 2), (36, 3), (72, 4), (120, 6)];
 
-/// Numbers of routes that are measured.
+/// Route counts of the measured configurations.
 const ROUTES: [usize; 3] = [100, 400, 800];
 
-/// Seconds over which each fleet is watched at rest.
-const REST: Duration = Duration::from_secs(20);
+/// How long each idle fleet is measured.
+const IDLE_PERIOD: Duration = Duration::from_secs(20);
 
-/// Changes made in each fleet.
+/// Configuration changes made in each fleet.
 const CHANGES: usize = 10;
 
-/// Boxes, links of a relay, relays and routes at the design's size.
+/// Boxes at the design size.
 const DESIGN_BOXES: f64 = 740.0;
+/// Relays at the design size.
 const DESIGN_RELAYS: f64 = 24.0;
+/// Links of one relay at the design size: its downstream links and one to each other relay.
 const DESIGN_LINKS: f64 = 31.0 + DESIGN_RELAYS - 1.0;
+/// Routes at the design size.
 const DESIGN_ROUTES: f64 = 1_000.0;
 
 pub fn arguments() -> Command {
@@ -27,7 +31,8 @@
     .arg(json())
 }
 
-/// A quantity of a role, with the points that it was measured at.
+/// One quantity of one role: the measured points, the value of the driver (the number that the
+/// quantity grows with) at the design size, and the budget.
 struct Row {
   budget: Option<f64>,
   design: f64,
@@ -49,7 +54,7 @@
   fn print(&self) {
     let fit = Fit::of(&self.points);
     let at_design = fit.at(self.design);
-    // Where the line meets the budget, the design stops fitting.
+    // The driver value at which the fitted line reaches the budget.
     let fits_until =
       self.budget.filter(|_| fit.slope > 0.0).map(|budget| (budget - fit.intercept) / fit.slope);
     print(&serde_json::json!({
@@ -70,7 +75,7 @@
   }
 }
 
-/// The rows that are filled from fleets at rest and under changes.
+/// The rows measured on idle fleets and during configuration changes.
 struct Rows {
   relay_bytes: Row,
   relay_cpu: Row,
@@ -145,7 +150,7 @@
     links.push(links_of_relay(one).await?);
   }
   let before = Usage::of(&fleet).await?;
-  monoio::time::sleep(REST).await;
+  monoio::time::sleep(IDLE_PERIOD).await;
   let after = Usage::of(&fleet).await?;
   let rest = after.since(&before);
   let relays = count(links.iter().flatten().count());
@@ -176,7 +181,7 @@
   Ok(())
 }
 
-/// The links of a daemon that is a relay.
+/// Returns the number of links of a relay; `None` if the daemon is not a relay.
 async fn links_of_relay(one: &FleetBox) -> Result<Option<f64>> {
   let answer = one.state("status").await?;
   let field = |name: &str| {
@@ -190,7 +195,8 @@
   Ok(Some(links.iter().sum()))
 }
 
-/// The memory of a daemon that holds so many routes, and the size of the configuration.
+/// Returns the resident memory of a daemon with this many routes, in kilobytes, and the size of the
+/// configuration in bytes.
 async fn measure_routes(routes: usize) -> Result<(f64, f64)> {
   let fleet =
     FleetBuilder::new(executable()?).boxes(2).data_halls(1).log_level("warning").start()?;
@@ -206,7 +212,7 @@
   let daemon = fleet.boxes[1].daemon.as_ref();
   let rss_kb = daemon.map_or(Ok(0), |daemon| daemon.memory_kb("VmRSS"))?;
   let document = fleet.boxes[1].state("export").await?.document.unwrap_or_default();
-  // The stored form carries the revision of each object besides.
+  // The stored form also holds a revision for each object, estimated at 40 bytes per route.
   let bytes = document.to_string().len() + routes * 40;
   let _ = version;
   Ok((count_u64(rss_kb), count(bytes)))
--- a/crates/ferryyoke-bench/src/commands/churn.rs
+++ b/crates/ferryyoke-bench/src/commands/churn.rs
@@ -1,4 +1,5 @@
-//! What a herd of backend servers that goes and comes costs, and how soon all daemons know.
+//! Measures the cost of many backend servers draining and returning at once, and how long it takes
+//! until all daemons know.
 
 use super::*;
 
@@ -23,35 +24,35 @@
     .start()?;
   fleet.configure().await?;
   monoio::time::sleep(Duration::from_secs(5)).await;
-  let (mut gone_ms, mut back_ms) = (Sample::default(), Sample::default());
-  let before_rest = Usage::of(&fleet).await?;
+  let (mut draining_ms, mut back_ms) = (Sample::default(), Sample::default());
+  let before_idle = Usage::of(&fleet).await?;
   monoio::time::sleep(Duration::from_secs(10)).await;
   let before = Usage::of(&fleet).await?;
-  let rest: f64 = before.since(&before_rest).bytes.iter().sum();
+  let idle: f64 = before.since(&before_idle).bytes.iter().sum();
   let started = Instant::now();
   for _ in 0..get(matches, "rounds") {
-    gone_ms.add(turn(&fleet, herd, true).await?);
-    back_ms.add(turn(&fleet, herd, false).await?);
+    draining_ms.add(set_draining(&fleet, herd, true).await?);
+    back_ms.add(set_draining(&fleet, herd, false).await?);
   }
   let seconds = started.elapsed().as_secs_f64();
   let total: f64 = Usage::of(&fleet).await?.since(&before).bytes.iter().sum();
-  let news = count(2 * herd * get(matches, "rounds"));
+  let updates = count(2 * herd * get(matches, "rounds"));
   print(&serde_json::json!({
     "measure": "churn",
     "boxes": boxes,
     "herd": herd,
     "profile": get_profile(matches),
-    "ms_until_all_know_it_drains": gone_ms.spread(),
+    "ms_until_all_know_it_drains": draining_ms.spread(),
     "ms_until_all_know_it_is_back": back_ms.spread(),
-    // Sent and received, above what the fleet takes at rest.
-    "bytes_per_box_and_change_of_one": (total - rest) * seconds / count(boxes) / news,
+    // Sent and received, without the traffic of the idle fleet.
+    "bytes_per_box_and_change_of_one": (total - idle) * seconds / count(boxes) / updates,
   }));
   Ok(())
 }
 
-/// Lets the herd drain or come back; returns the milliseconds until every daemon knows, the look at
-/// the health endpoint included.
-async fn turn(fleet: &Fleet, herd: usize, draining: bool) -> Result<f64> {
+/// Makes the first `herd` backend servers drain or return. Returns the milliseconds until every
+/// daemon knows, including the wait for the next health check.
+async fn set_draining(fleet: &Fleet, herd: usize, draining: bool) -> Result<f64> {
   let faults = BackendFaults { draining, ..BackendFaults::default() };
   let started = Instant::now();
   for one in &fleet.boxes[..herd] {
--- a/crates/ferryyoke-bench/src/commands/convergence.rs
+++ b/crates/ferryyoke-bench/src/commands/convergence.rs
@@ -1,14 +1,15 @@
-//! How long a change takes from its statement until the last box applies it, and what it costs.
+//! Measures the time from a statement until the last box applies the change, and the cost of a
+//! change.
 
 use super::*;
 
-/// Seconds over which the fleet at rest is watched.
-const REST: Duration = Duration::from_secs(10);
+/// How long the idle fleet is measured.
+const IDLE_PERIOD: Duration = Duration::from_secs(10);
 
-/// Seconds for which a fleet settles before anything is counted.
-const SETTLE: Duration = Duration::from_secs(5);
+/// Wait after the first configuration before measuring starts.
+const SETTLE_TIME: Duration = Duration::from_secs(5);
 
-/// Milliseconds between two changes.
+/// Pause after each change, in milliseconds.
 const CHANGE_PAUSE_MS: u64 = 300;
 
 pub fn arguments() -> Command {
@@ -31,9 +32,9 @@
     .profile(get_profile(matches))
     .start()?;
   fleet.configure().await?;
-  monoio::time::sleep(SETTLE).await;
+  monoio::time::sleep(SETTLE_TIME).await;
   let before_rest = Usage::of(&fleet).await?;
-  monoio::time::sleep(REST).await;
+  monoio::time::sleep(IDLE_PERIOD).await;
   let before = Usage::of(&fleet).await?;
   let rest = before.since(&before_rest);
   let load = start_load(&fleet, get(matches, "load"));
@@ -67,10 +68,11 @@
   Ok(())
 }
 
-/// A load that runs in threads of its own.
+/// A load that runs in background threads.
 type Load = std::thread::JoinHandle<Result<LoadResult>>;
 
-/// Starts to send requests through all daemons, for as long as the changes should take.
+/// Starts a load of `per_second` requests per second through all daemons; `None` if it is zero. The
+/// load lasts about as long as the changes.
 fn start_load(fleet: &Fleet, per_second: usize) -> Option<Load> {
   const THREADS: usize = 4;
   const SECONDS: u64 = 8;
@@ -84,14 +86,14 @@
   (per_second > 0).then(|| std::thread::spawn(move || generator.run()))
 }
 
-/// Waits for the end of a load; returns how many of its requests failed.
+/// Waits until a load ends and returns the number of failed requests.
 fn finish_load(load: Load) -> Result<u64> {
-  let result = load.join().map_err(|_| Error::Unexpected("the load panicked".into()))??;
+  let result = load.join().map_err(|_| Error::Unexpected("a load thread panicked".into()))??;
   Ok(result.failed)
 }
 
-/// Makes changes one after another. Returns the milliseconds until the last box applied each, from
-/// its statement and from its answer.
+/// Makes changes one after another. Returns the milliseconds until the last box has applied each
+/// change, measured from sending the statement and from receiving its answer.
 pub async fn make_changes(fleet: &Fleet, changes: usize) -> Result<(Sample, Sample)> {
   let (mut stated, mut answered) = (Sample::default(), Sample::default());
   for index in 0..changes {
--- a/crates/ferryyoke-bench/src/commands/mod.rs
+++ b/crates/ferryyoke-bench/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands of the tool.
+//! The commands of the benchmark tool.
 
 use super::*;
 
@@ -11,7 +11,8 @@
 mod overload;
 mod restart_storm;
 
-/// Carries out the command that the process was given.
+/// Runs the command given in `words`, the arguments of the process, or `ferryyoke` if the first one
+/// is [`AS_FERRYYOKE`].
 pub fn execute(mut words: Vec<OsString>) -> std::process::ExitCode {
   if words.get(1).is_some_and(|word| word == AS_FERRYYOKE) {
     words.remove(1);
@@ -41,7 +42,7 @@
     Some(("overhead", matches)) => overhead::measure(matches).await,
     Some(("overload", _)) => overload::measure().await,
     Some(("restart-storm", matches)) => restart_storm::measure(matches).await,
-    _ => unreachable!("the parser demands a known command"),
+    _ => unreachable!("clap accepts only known subcommands"),
   }
 }
 
@@ -78,20 +79,20 @@
     .value_parser(["balanced", "frugal", "prompt"])
 }
 
-/// Results are always JSON lines; the flag is there for those who say so.
+/// The flag `--json` has no effect: results are always JSON lines.
 fn json() -> Arg {
   Arg::new("json").long("json").action(ArgAction::SetTrue).help("Print JSON lines (always on)")
 }
 
 fn get(matches: &ArgMatches, name: &str) -> usize {
-  *matches.get_one(name).expect("it has a default")
+  *matches.get_one(name).expect("the argument has a default")
 }
 
 fn get_profile(matches: &ArgMatches) -> &str {
-  matches.get_one::<String>("profile").expect("it has a default")
+  matches.get_one::<String>("profile").expect("the argument has a default")
 }
 
-/// This program, which can act as a daemon.
+/// Returns the path of this binary, which can also run as a daemon.
 fn executable() -> Result<PathBuf> {
   Ok(std::env::current_exe()?)
 }
--- a/crates/ferryyoke-bench/src/commands/overhead.rs
+++ b/crates/ferryyoke-bench/src/commands/overhead.rs
@@ -1,8 +1,9 @@
-//! What the way through the daemons adds to a request, against the direct way in the same run.
+//! Measures the latency and processor time that daemons add to a request, compared with direct
+//! requests in the same run.
 
 use super::*;
 
-/// Seconds of each round.
+/// Duration of each path's load in one round, in seconds.
 const ROUND_SECONDS: u64 = 4;
 
 pub fn arguments() -> Command {
@@ -13,16 +14,16 @@
     .arg(json())
 }
 
-/// A way that requests take.
-struct Way {
+/// A path from the load generator to the backend server.
+struct RequestPath {
   address: SocketAddr,
   name: &'static str,
   path: &'static str,
 }
 
 pub async fn measure(matches: &ArgMatches) -> Result {
-  // One box each of two services: what is asked of the second box for the first service passes two
-  // daemons, what is asked of the first one passes one.
+  // One box per service: a request for the first service passes one daemon when it is sent to the
+  // first box, and two daemons when it is sent to the second.
   let fleet = FleetBuilder::new(executable()?)
     .boxes(2)
     .data_halls(1)
@@ -31,44 +32,46 @@
     .slots(100)
     .start()?;
   fleet.configure().await?;
-  let ways = [
-    Way { address: fleet.boxes[0].backend_server, name: "direct", path: "/archive/1" },
-    Way { address: fleet.boxes[0].callers, name: "one_daemon", path: "/archive/1" },
-    Way { address: fleet.boxes[1].callers, name: "two_daemons", path: "/archive/1" },
+  let request_paths = [
+    RequestPath { address: fleet.boxes[0].backend_server, name: "direct", path: "/archive/1" },
+    RequestPath { address: fleet.boxes[0].callers, name: "one_daemon", path: "/archive/1" },
+    RequestPath { address: fleet.boxes[1].callers, name: "two_daemons", path: "/archive/1" },
   ];
-  let most = throughput(&ways[2])?;
-  let rate = most * count(get(matches, "share")) / 100.0;
-  let mut measured: Vec<Measured> = ways.iter().map(|_| Measured::default()).collect();
+  let throughput_max = throughput(&request_paths[2])?;
+  let rate = throughput_max * count(get(matches, "share")) / 100.0;
+  let mut measured: Vec<PathResults> =
+    request_paths.iter().map(|_| PathResults::default()).collect();
   for _ in 0..get(matches, "rounds") {
-    for (way, measured) in ways.iter().zip(&mut measured) {
+    for (request_path, measured) in request_paths.iter().zip(&mut measured) {
       let cpu = cpu_us(&fleet)?;
-      let result = load(way, Some(rate), 4).run()?;
+      let result = load(request_path, Some(rate), 4).run()?;
       measured.add(&result, count_u64(cpu_us(&fleet)? - cpu));
     }
   }
-  for (way, of_way) in ways.iter().zip(&measured) {
+  for (request_path, results) in request_paths.iter().zip(&measured) {
     let direct = &measured[0];
     print(&serde_json::json!({
       "measure": "overhead",
-      "way": way.name,
+      "way": request_path.name,
       "share_percent": get(matches, "share"),
       "per_second": rate,
-      "most_per_second_of_two_daemons": most,
-      "failed": of_way.failed,
-      "p50_ms": of_way.p50_ms.spread(),
-      "p99_ms": of_way.p99_ms.spread(),
-      "p999_ms": of_way.p999_ms.spread(),
-      "added_p50_ms": of_way.p50_ms.median() - direct.p50_ms.median(),
-      "added_p99_ms": of_way.p99_ms.median() - direct.p99_ms.median(),
-      "added_p999_ms": of_way.p999_ms.median() - direct.p999_ms.median(),
-      "daemon_cpu_us_per_request": of_way.cpu_us.spread(),
+      "most_per_second_of_two_daemons": throughput_max,
+      "failed": results.failed,
+      "p50_ms": results.p50_ms.spread(),
+      "p99_ms": results.p99_ms.spread(),
+      "p999_ms": results.p999_ms.spread(),
+      "added_p50_ms": results.p50_ms.median() - direct.p50_ms.median(),
+      "added_p99_ms": results.p99_ms.median() - direct.p99_ms.median(),
+      "added_p999_ms": results.p999_ms.median() - direct.p999_ms.median(),
+      "daemon_cpu_us_per_request": results.cpu_us.spread(),
     }));
   }
   Ok(())
 }
 
+/// The results of one path, with one value per round.
 #[derive(Default)]
-struct Measured {
+struct PathResults {
   cpu_us: Sample,
   failed: u64,
   p50_ms: Sample,
@@ -76,7 +79,7 @@
   p999_ms: Sample,
 }
 
-impl Measured {
+impl PathResults {
   fn add(&mut self, result: &LoadResult, cpu_us: f64) {
     self.cpu_us.add(cpu_us / count_u64(result.latency_us.len().max(1)));
     self.failed += result.failed;
@@ -86,22 +89,22 @@
   }
 }
 
-fn load(way: &Way, per_second: Option<f64>, threads: usize) -> Generator {
+fn load(request_path: &RequestPath, per_second: Option<f64>, threads: usize) -> Generator {
   Generator {
-    addresses: vec![way.address],
+    addresses: vec![request_path.address],
     duration: Duration::from_secs(ROUND_SECONDS),
-    path: way.path.into(),
+    path: request_path.path.into(),
     per_second,
     threads,
   }
 }
 
-/// Requests a second that get answered when every connection asks as fast as it can.
-fn throughput(way: &Way) -> Result<f64> {
-  Ok(load(way, None, 8).run()?.per_second())
+/// Returns the requests answered per second when eight connections send without pauses.
+fn throughput(request_path: &RequestPath) -> Result<f64> {
+  Ok(load(request_path, None, 8).run()?.per_second())
 }
 
-/// Processor time of all daemons so far.
+/// Returns the processor time used by all daemons so far, in microseconds.
 fn cpu_us(fleet: &Fleet) -> Result<u64> {
   let daemons = fleet.boxes.iter().filter_map(|one| one.daemon.as_ref());
   daemons.map(Process::cpu_us).sum()
--- a/crates/ferryyoke-bench/src/commands/overload.rs
+++ b/crates/ferryyoke-bench/src/commands/overload.rs
@@ -1,14 +1,14 @@
-//! What a service still answers when more is asked of it than it can do.
+//! Measures how many requests a service answers when the load exceeds its capacity.
 
 use super::*;
 
-/// Milliseconds that a backend server works on a request.
+/// Time that a backend server takes for a request, in milliseconds.
 const WORK_MS: u64 = 20;
 
 /// Slots of each backend server.
 const SLOTS: u32 = 12;
 
-/// Seconds of each load.
+/// Duration of each load in seconds.
 const SECONDS: u64 = 5;
 
 pub fn arguments() -> Command {
@@ -26,20 +26,20 @@
     one.set_backend_faults(&faults).await?;
     servers += 1;
   }
-  // The kernel's timers make each request take about a millisecond more than it should.
+  // Kernel timers add about one millisecond to each request.
   let capacity = f64::from(servers * SLOTS) * 1_000.0 / count_u64(WORK_MS + 1);
-  for times in [0.5, 1.0, 1.5, 2.0, 3.0] {
+  for load_factor in [0.5, 1.0, 1.5, 2.0, 3.0] {
     let generator = Generator {
       addresses: fleet.boxes.iter().map(|one| one.callers).collect(),
       duration: Duration::from_secs(SECONDS),
       path: "/archive/1".into(),
-      per_second: Some(capacity * times),
+      per_second: Some(capacity * load_factor),
       threads: 180,
     };
     let result = generator.run()?;
     print(&serde_json::json!({
       "measure": "overload",
-      "times_capacity": times,
+      "times_capacity": load_factor,
       "capacity_per_s": capacity,
       "answered_per_s": result.per_second(),
       "answered_share_of_capacity": result.per_second() / capacity,
--- a/crates/ferryyoke-bench/src/error.rs
+++ b/crates/ferryyoke-bench/src/error.rs
@@ -1,15 +1,15 @@
 use super::*;
 
-/// Why a measurement failed.
+/// Why a benchmark or a run of a test fleet failed.
 #[derive(Debug)]
 pub enum Error {
-  /// A daemon cannot be asked.
+  /// A statement could not be sent to a daemon.
   Ask(ferryyoke::commands::Error),
-  /// A file or process cannot be used.
+  /// A file, socket or process operation failed.
   Io(io::Error),
-  /// Something did not come about in time, or came out wrong.
+  /// A wait timed out, or a result was not as expected.
   Unexpected(String),
-  /// A request failed.
+  /// An HTTP request failed.
   Web(web::Error),
 }
 
@@ -17,8 +17,8 @@
   fn fmt(&self, f: &mut Formatter) -> fmt::Result {
     match self {
       Self::Ask(err) => err.fmt(f),
-      Self::Io(err) => write!(f, "a file or process cannot be used: {err}"),
-      Self::Unexpected(what) => write!(f, "the measurement failed: {what}"),
+      Self::Io(err) => write!(f, "a file, socket or process operation failed: {err}"),
+      Self::Unexpected(what) => write!(f, "the run failed: {what}"),
       Self::Web(err) => err.fmt(f),
     }
   }
--- a/crates/ferryyoke-bench/src/fit.rs
+++ b/crates/ferryyoke-bench/src/fit.rs
@@ -1,16 +1,16 @@
-/// A straight line through measured points, by least squares.
+/// A least-squares line through measured points.
 #[derive(Clone, Copy, Debug)]
 pub struct Fit {
-  /// The value at zero.
+  /// The value of the line at `x` = 0.
   pub intercept: f64,
-  /// The largest distance of a point from the line.
+  /// The largest vertical distance of a point from the line.
   pub residual_max: f64,
-  /// The growth for one more.
+  /// The change of the value per unit of `x`.
   pub slope: f64,
 }
 
 impl Fit {
-  /// Fits `points` of a driver and a value. At least two different drivers are needed for a slope.
+  /// Fits a line to points `(x, y)`. The slope is zero unless two points differ in `x`.
   #[allow(clippy::cast_precision_loss)]
   pub fn of(points: &[(f64, f64)]) -> Self {
     let count = points.len().max(1) as f64;
@@ -25,7 +25,7 @@
     Self { intercept, residual_max, slope }
   }
 
-  /// The value of the line at `x`.
+  /// Returns the value of the line at `x`.
   pub fn at(&self, x: f64) -> f64 {
     self.intercept + self.slope * x
   }
--- a/crates/ferryyoke-bench/src/fleet.rs
+++ b/crates/ferryyoke-bench/src/fleet.rs
@@ -1,14 +1,14 @@
 use super::*;
 
-/// A fleet of daemon processes on loopback, with a store and backend servers.
+/// Daemon processes on loopback, with a simulated store and simulated backend servers.
 pub struct Fleet {
-  /// The process of all backend servers.
+  /// The process that runs all backend servers.
   pub backend_servers: Process,
   /// The boxes.
   pub boxes: Vec<FleetBox>,
   pub(super) directory: tempfile::TempDir,
   pub(super) executable: PathBuf,
-  /// Keeps the ports of the fleet from others.
+  /// Keeps the fleet's ports reserved while it lives.
   pub(super) _held_ports: Vec<HeldPort>,
   pub(super) pool: Rc<web::Pool>,
   /// The store's process.
@@ -18,9 +18,9 @@
 }
 
 impl Fleet {
-  /// Longest wait for the fleet to come to some state.
-  const PATIENCE: Duration = Duration::from_mins(1);
-  /// Longest wait for one answer.
+  /// Longest wait for the fleet to reach an expected state.
+  const WAIT_MAX: Duration = Duration::from_mins(1);
+  /// Longest wait for one HTTP response, in milliseconds.
   pub(super) const TIMEOUT_MS: u64 = 5_000;
 
   /// The first configuration: the policies, services and routes of the test fleet.
@@ -39,14 +39,15 @@
     let started = Instant::now();
     for one in &self.boxes {
       while one.scrape().await.is_err() || one.state("export").await?.document.is_none() {
-        self.check_patience(started, &format!("{} to be ready", one.box_id))?;
+        self.check_wait(started, &format!("{} to be ready", one.box_id))?;
         monoio::time::sleep(Duration::from_millis(20)).await;
       }
     }
     Ok(())
   }
 
-  /// Makes the first configuration, and waits until it and all backend servers are known everywhere.
+  /// Applies [`Fleet::CONFIGURATION`], and waits until every daemon has applied it and sees every
+  /// backend server as live.
   pub async fn configure(&self) -> Result<Version> {
     self.wait_until_ready().await?;
     let version = self.change(0, Self::CONFIGURATION).await?;
@@ -55,27 +56,28 @@
     Ok(version)
   }
 
-  /// Waits until every running daemon takes so many backend servers for live.
+  /// Waits until every running daemon sees exactly `live` backend servers as live.
   pub async fn wait_for_live(&self, live: usize) -> Result {
     let started = Instant::now();
     for one in self.boxes.iter().filter(|one| one.daemon.is_some()) {
       while one.scrape().await.unwrap_or_default().live_endpoints() != live {
-        self.check_patience(started, &format!("{} to know {live} live", one.box_id))?;
+        self.check_wait(started, &format!("{} to see {live} live backend servers", one.box_id))?;
         monoio::time::sleep(Duration::from_millis(10)).await;
       }
     }
     Ok(())
   }
 
-  /// States a change to a box, and returns the version that it made.
+  /// Sends a statement to the box at `index` and returns the version that it created. Fails if the
+  /// daemon does not report it as done.
   pub async fn change(&self, index: usize, text: &str) -> Result<Version> {
     let answer = self.boxes[index].state(text).await?;
     let version = answer.version.filter(|_| answer.outcome == AnswerOutcome::Done);
     version.ok_or_else(|| Error::Unexpected(format!("`{text}`: {}", answer.message)))
   }
 
-  /// Waits until every running daemon applies a version. Returns when the last one did, in
-  /// milliseconds since 1970 by its own record.
+  /// Waits until every running daemon has applied `version` or a newer one. Returns when the last
+  /// daemon did so, in Unix milliseconds as the daemons report it.
   pub async fn wait_for_version(&self, version: Version) -> Result<u64> {
     let started = Instant::now();
     let mut last_unix_ms = 0;
@@ -86,39 +88,42 @@
           last_unix_ms = last_unix_ms.max(scrape.applied_unix_ms());
           break;
         }
-        self.check_patience(started, &format!("{} to apply version {version}", one.box_id))?;
+        self.check_wait(started, &format!("{} to apply version {version}", one.box_id))?;
         monoio::time::sleep(Duration::from_millis(5)).await;
       }
     }
     Ok(last_unix_ms)
   }
 
-  fn check_patience(&self, started: Instant, what: &str) -> Result {
-    if started.elapsed() < Self::PATIENCE {
+  fn check_wait(&self, started: Instant, what: &str) -> Result {
+    if started.elapsed() < Self::WAIT_MAX {
       return Ok(());
     }
     let log = |one: &FleetBox| format!("--- {}\n{}", one.box_id, one.log());
     let logs: Vec<String> = self.boxes.iter().map(log).collect();
-    Err(Error::Unexpected(format!("waited in vain for {what}\n{}", logs.join("\n"))))
+    Err(Error::Unexpected(format!(
+      "timed out waiting for {what}; daemon logs:\n{}",
+      logs.join("\n")
+    )))
   }
 
-  /// Sets the faults of the store.
+  /// Sets the faults that the store injects.
   pub async fn set_store_faults(&self, faults: &StoreFaults) -> Result {
     let text = serde_json::to_string(faults).map_err(|err| Error::Unexpected(err.to_string()))?;
     self.post_to_store("/fault", text).await.map(drop)
   }
 
-  /// Keeps the store's content for [`Fleet::restore_store`].
+  /// Saves the store's content for [`Fleet::restore_store`].
   pub async fn save_store(&self) -> Result {
     self.post_to_store("/save", String::new()).await.map(drop)
   }
 
-  /// Brings the store back to the content that was kept.
+  /// Resets the store to the content saved by [`Fleet::save_store`].
   pub async fn restore_store(&self) -> Result {
     self.post_to_store("/restore", String::new()).await.map(drop)
   }
 
-  /// Calls that the store took so far.
+  /// Returns the number of calls that the store has received.
   pub async fn store_calls(&self) -> Result<u64> {
     let body = self.post_to_store("/calls", String::new()).await?;
     let calls: BTreeMap<String, u64> =
@@ -134,12 +139,12 @@
     Ok(body)
   }
 
-  /// Kills the store; its content is lost.
+  /// Kills the store, which loses its content.
   pub fn kill_store(&mut self) -> Result {
     self.store.kill()
   }
 
-  /// Starts a fresh store at the same address.
+  /// Starts an empty store at the same address.
   pub fn start_store(&mut self) -> Result {
     let words = ["stand-in", "store", "--listen", &self.store_address.to_string()];
     let log = self.directory.path().join("store-2.log");
@@ -147,7 +152,7 @@
     Ok(())
   }
 
-  /// The metrics of every running daemon, summed over a prefix.
+  /// Sums, over all running daemons, the metrics whose names start with `prefix`.
   pub async fn sum(&self, prefix: &str) -> Result<f64> {
     let mut sum = 0.0;
     for one in self.boxes.iter().filter(|one| one.daemon.is_some()) {
--- a/crates/ferryyoke-bench/src/fleet_box.rs
+++ b/crates/ferryyoke-bench/src/fleet_box.rs
@@ -1,35 +1,35 @@
 use super::*;
 
-/// One box of a fleet of processes.
+/// One box of a [`Fleet`]: a daemon process and its backend server.
 pub struct FleetBox {
-  /// Where the daemon takes statements.
+  /// The daemon's administration address.
   pub administration: SocketAddr,
-  /// Where the backend server listens.
+  /// The address of the backend server.
   pub backend_server: SocketAddr,
   /// The box's name.
   pub box_id: String,
-  /// Where the daemon takes callers.
+  /// The daemon's address for callers.
   pub callers: SocketAddr,
-  /// The daemon; nothing while it does not run.
+  /// The daemon process; `None` while it is not running.
   pub daemon: Option<Process>,
   pub(super) directory: PathBuf,
   pub(super) executable: PathBuf,
-  /// The pool for asking this box.
+  /// Connections to the daemon and the backend server.
   pub(super) pool: Rc<web::Pool>,
-  /// The service that the box serves.
+  /// The service of the backend server.
   pub service: String,
 }
 
 impl FleetBox {
-  /// Largest answer in bytes that is read.
+  /// Largest response body that is read, in bytes.
   const ANSWER_BYTES_MAX: usize = 64 << 20;
 
-  /// The daemon's settings file.
+  /// Returns the path of the daemon's settings file.
   pub fn settings_path(&self) -> PathBuf {
     self.directory.join(format!("{}.json", self.box_id))
   }
 
-  /// The daemon's log.
+  /// Returns the daemon's log since its last start; empty if it cannot be read.
   pub fn log(&self) -> String {
     let path = self.directory.join(format!("{}.log", self.box_id));
     fs::read_to_string(path).unwrap_or_default()
@@ -44,7 +44,7 @@
     Ok(())
   }
 
-  /// Kills the daemon.
+  /// Kills the daemon, if it is running.
   pub fn kill(&mut self) -> Result {
     match self.daemon.take() {
       Some(mut daemon) => daemon.kill(),
@@ -52,16 +52,16 @@
     }
   }
 
-  /// Signals the daemon.
+  /// Sends the daemon a signal by name; see [`Process::signal`].
   pub fn signal(&self, name: &str) -> Result {
-    let not_running = || Error::Unexpected(format!("the daemon of {} does not run", self.box_id));
+    let not_running = || Error::Unexpected(format!("the daemon of {} is not running", self.box_id));
     self.daemon.as_ref().ok_or_else(not_running)?.signal(name)
   }
 
-  /// Waits until the daemon ended by itself, and returns its exit code.
-  pub async fn exit_code(&mut self, patience: Duration) -> Result<i32> {
+  /// Waits at most `wait_max` for the daemon to exit by itself and returns its exit code.
+  pub async fn exit_code(&mut self, wait_max: Duration) -> Result<i32> {
     let started = Instant::now();
-    while started.elapsed() < patience {
+    while started.elapsed() < wait_max {
       let code = self.daemon.as_mut().map(Process::exit_code).transpose()?.flatten();
       if let Some(code) = code {
         self.daemon = None;
@@ -69,28 +69,31 @@
       }
       monoio::time::sleep(Duration::from_millis(20)).await;
     }
-    Err(Error::Unexpected(format!("the daemon of {} did not end", self.box_id)))
+    Err(Error::Unexpected(format!(
+      "the daemon of {} did not exit within {wait_max:?}",
+      self.box_id
+    )))
   }
 
-  /// The daemon's metrics.
+  /// Reads the daemon's metrics.
   pub async fn scrape(&self) -> Result<Scrape> {
     let (_, body) = self.get_at(self.administration, "/metrics").await?;
     Ok(Scrape::parse(&String::from_utf8_lossy(&body)))
   }
 
-  /// States a script to the daemon.
+  /// Sends one or more statements to the daemon's administration.
   pub async fn state(&self, text: &str) -> Result<Answer> {
     let request = StatementRequest { change_id: None, text: text.into() };
     Ok(query::state(self.administration, None, &request).await?)
   }
 
-  /// Everything that the backend server ran.
+  /// Returns the requests that the backend server has run.
   pub async fn journal(&self) -> Result<Journal> {
     let (_, body) = self.get_at(self.backend_server, "/journal").await?;
     serde_json::from_slice(&body).map_err(|err| Error::Unexpected(err.to_string()))
   }
 
-  /// Sets the faults of the backend server.
+  /// Sets the faults that the backend server injects.
   pub async fn set_backend_faults(&self, faults: &BackendFaults) -> Result {
     let text = serde_json::to_string(faults).map_err(|err| Error::Unexpected(err.to_string()))?;
     let request = Request::post("/fault").header("host", self.backend_server.to_string());
@@ -99,12 +102,12 @@
     Ok(())
   }
 
-  /// A request of a caller, through the daemon.
+  /// Sends a `GET` request through the daemon, as a caller does.
   pub async fn get(&self, path: &str) -> Result<(StatusCode, Bytes)> {
     self.get_at(self.callers, path).await
   }
 
-  /// A request that must run at most once, through the daemon.
+  /// Sends a `POST` request with an idempotency key through the daemon.
   pub async fn post_once(&self, path: &str, key: &str, body: &str) -> Result<(StatusCode, Bytes)> {
     let request = Request::post(path)
       .header("host", self.callers.to_string())
--- a/crates/ferryyoke-bench/src/fleet_builder.rs
+++ b/crates/ferryyoke-bench/src/fleet_builder.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Describes a fleet of processes before it starts.
+/// Configures and starts a [`Fleet`].
 #[derive(Clone, Debug)]
 pub struct FleetBuilder {
   boxes: usize,
@@ -13,11 +13,12 @@
   tokens: Vec<serde_json::Value>,
 }
 
-/// Ports of one box, held for as long as the fleet lives.
+/// The ports of one box, reserved while the fleet lives.
 struct Ports([HeldPort; 5]);
 
 impl FleetBuilder {
-  /// A fleet of daemons that run `executable`, which must act as `ferryyoke` on demand.
+  /// Creates a builder for daemons that run `executable`, which must accept [`AS_FERRYYOKE`] as its
+  /// first argument.
   pub fn new(executable: impl Into<PathBuf>) -> Self {
     Self {
       boxes: 6,
@@ -31,43 +32,44 @@
     }
   }
 
-  /// Sets how many boxes there are.
+  /// Sets the number of boxes.
   #[must_use]
   pub fn boxes(self, boxes: usize) -> Self {
     Self { boxes, ..self }
   }
 
-  /// Sets how many data halls the boxes stand in, by turns.
+  /// Sets the number of data halls. Boxes are assigned to them in turn.
   #[must_use]
   pub fn data_halls(self, data_halls: usize) -> Self {
     Self { data_halls, ..self }
   }
 
-  /// Sets which lines the daemons log.
+  /// Sets the log level of the daemons.
   #[must_use]
   pub fn log_level(self, log_level: &'static str) -> Self {
     Self { log_level, ..self }
   }
 
-  /// Sets the profile of distribution.
+  /// Sets the distribution profile.
   #[must_use]
   pub fn profile(self, profile: &str) -> Self {
     Self { profile: profile.into(), ..self }
   }
 
-  /// Sets the services that the boxes serve, by turns.
+  /// Sets the services. Boxes are assigned to them in turn.
   #[must_use]
   pub fn services(self, services: &[&str]) -> Self {
     Self { services: services.iter().map(ToString::to_string).collect(), ..self }
   }
 
-  /// Sets how many requests each backend server runs at once.
+  /// Sets how many requests each backend server may run at once.
   #[must_use]
   pub fn slots(self, slots: u32) -> Self {
     Self { slots, ..self }
   }
 
-  /// Adds a token that administration demands from then on.
+  /// Adds an administration token. With one or more tokens, administration refuses statements
+  /// without a valid token.
   #[must_use]
   pub fn token(mut self, text: &str, operator: &str, role: &str, team: &str) -> Self {
     let digest = Digest::of(text.as_bytes());
@@ -86,7 +88,8 @@
     Ok(fleet)
   }
 
-  /// Starts the store and the backend servers, and writes the settings of the daemons.
+  /// Starts the store and the backend servers and writes the daemons' settings, but starts no
+  /// daemon.
   pub fn prepare(self) -> Result<Fleet> {
     let directory = tempfile::tempdir()?;
     let store_port = HeldPort::take()?;
@@ -204,7 +207,7 @@
   const FORWARD: usize = 3;
   const LINKS: usize = 4;
 
-  /// Ports that the kernel chooses.
+  /// Reserves five ports chosen by the kernel.
   fn take() -> Result<Self> {
     let take = HeldPort::take;
     Ok(Self([take()?, take()?, take()?, take()?, take()?]))
--- a/crates/ferryyoke-bench/src/held_port.rs
+++ b/crates/ferryyoke-bench/src/held_port.rs
@@ -1,21 +1,22 @@
 use super::*;
 
-/// A port that the kernel chose and that nobody else gets for as long as this lives, so that a process
-/// can be started on it again and again.
+/// A loopback port chosen by the kernel and reserved while this value lives, so that a process can
+/// be restarted on it.
 pub struct HeldPort {
-  /// The address.
+  /// The address of the port.
   pub address: SocketAddr,
   _socket: Socket,
 }
 
 impl HeldPort {
-  /// Takes a port.
+  /// Reserves a port by binding a socket that never listens.
   pub fn take() -> Result<Self> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())?;
     let address = socket.local_addr()?.as_socket();
-    let address = address.ok_or_else(|| Error::Unexpected("a port without an address".into()))?;
+    let address =
+      address.ok_or_else(|| Error::Unexpected("the reserved port has no IP address".into()))?;
     Ok(Self { address, _socket: socket })
   }
 }
--- a/crates/ferryyoke-bench/src/lib.rs
+++ b/crates/ferryyoke-bench/src/lib.rs
@@ -1,8 +1,8 @@
-//! The load and experiment tool of ferryyoke. It is not shipped.
+//! Load generator and benchmarks for ferryyoke. Not shipped.
 //!
-//! [`Fleet`] starts a fleet of real daemon processes on loopback, with the stand-ins of the platform
-//! beside it. The commands measure such fleets, or drive the decisions directly, and print JSON
-//! lines.
+//! [`Fleet`] runs real daemon processes on loopback, together with simulated platform services (the
+//! store and the backend servers). Each command benchmarks such a fleet, or calls the decision code
+//! directly, and prints its results as JSON lines.
 
 use {
   bytes::Bytes,
@@ -61,9 +61,9 @@
 mod scrape;
 mod usage;
 
-/// Result of a measurement.
+/// The result of a benchmark step.
 pub type Result<T = (), E = Error> = std::result::Result<T, E>;
 
-/// The word that makes this binary act as `ferryyoke`, so that it can start daemons of the very
-/// code it was built with.
+/// The first argument that makes this binary behave as `ferryyoke`, so that the daemons it starts
+/// run the code it was built with.
 pub const AS_FERRYYOKE: &str = "as-ferryyoke";
--- a/crates/ferryyoke-bench/src/load/connection.rs
+++ b/crates/ferryyoke-bench/src/load/connection.rs
@@ -5,8 +5,8 @@
   net::TcpStream,
 };
 
-/// A kept connection on which one request follows another. It blocks, so that the time of an answer
-/// is taken without a scheduler in between.
+/// A blocking HTTP/1.1 keep-alive connection that sends one request at a time. Blocking I/O keeps
+/// the delays of an async scheduler out of the measured latency.
 pub struct Connection {
   address: SocketAddr,
   buffer: Vec<u8>,
@@ -14,7 +14,7 @@
 }
 
 impl Connection {
-  /// Longest wait for an answer.
+  /// Longest wait for data of a response.
   const TIMEOUT: Duration = Duration::from_secs(10);
 
   /// Connects to `address`.
@@ -25,7 +25,8 @@
     Ok(Self { address, buffer: Vec::new(), stream })
   }
 
-  /// Asks for `path` and reads the whole answer. Returns its status.
+  /// Sends a `GET` request for `path`, reads the whole response and returns its status. Reconnects
+  /// if the server announces that it closes the connection.
   pub fn get(&mut self, path: &str) -> Result<u16> {
     let request = format!("GET {path} HTTP/1.1\r\nhost: {}\r\n\r\n", self.address);
     self.stream.write_all(request.as_bytes())?;
@@ -34,26 +35,28 @@
       if let Some(end) = self.buffer.windows(4).position(|window| window == b"\r\n\r\n") {
         break end + 4;
       }
-      self.read_some()?;
+      self.read_more()?;
     };
     let text = String::from_utf8_lossy(&self.buffer[..head]).to_lowercase();
     let status = text.split(' ').nth(1).and_then(|text| text.parse().ok());
     let length = text.split("content-length: ").nth(1).and_then(|rest| rest.lines().next());
     let length: usize = length.and_then(|text| text.parse().ok()).unwrap_or(0);
     while self.buffer.len() < head + length {
-      self.read_some()?;
+      self.read_more()?;
     }
     if text.contains("connection: close") {
       *self = Self::open(self.address)?;
     }
-    status.ok_or_else(|| Error::Unexpected("an answer without a status".into()))
+    status.ok_or_else(|| Error::Unexpected("a response has no valid status line".into()))
   }
 
-  fn read_some(&mut self) -> Result {
+  fn read_more(&mut self) -> Result {
     let mut piece = [0; 4_096];
     let count = self.stream.read(&mut piece)?;
     if count == 0 {
-      return Err(Error::Unexpected("the connection closed".into()));
+      return Err(Error::Unexpected(
+        "the server closed the connection before the response was complete".into(),
+      ));
     }
     self.buffer.extend_from_slice(&piece[..count]);
     Ok(())
--- a/crates/ferryyoke-bench/src/load/generator.rs
+++ b/crates/ferryyoke-bench/src/load/generator.rs
@@ -1,23 +1,24 @@
 use super::*;
 
-/// Sends requests from several threads for some time.
+/// Sends `GET` requests from several threads for a fixed time.
 #[derive(Clone, Debug)]
 pub struct Generator {
-  /// Where the requests go, thread by thread in turn.
+  /// Target addresses, assigned to the threads in turn.
   pub addresses: Vec<SocketAddr>,
-  /// For how long.
+  /// How long requests are sent.
   pub duration: Duration,
-  /// The path asked for.
+  /// The path of every request.
   pub path: String,
-  /// Requests a second in all; as many as get answered where absent.
+  /// Requests per second over all threads. If `None`, each thread sends its next request as soon as
+  /// the previous one is answered.
   pub per_second: Option<f64>,
-  /// Threads, each with one connection.
+  /// Number of threads, each with one connection.
   pub threads: usize,
 }
 
 impl Generator {
-  /// Sends the load and waits for its end. Times count from when each request was due, so that a
-  /// slow answer counts against those that it delays.
+  /// Sends the load and waits until it ends. Latency is measured from the scheduled send time, so
+  /// that it includes the delay that a slow response causes to later requests.
   pub fn run(&self) -> Result<LoadResult> {
     let threads: Vec<_> = (0..self.threads)
       .map(|index| {
@@ -25,12 +26,13 @@
         std::thread::spawn(move || generator.run_thread(index))
       })
       .collect();
-    let mut all = LoadResult::new();
+    let mut total = LoadResult::new();
     for thread in threads {
-      let one = thread.join().map_err(|_| Error::Unexpected("a load thread panicked".into()))??;
-      all.merge(&one);
+      let result =
+        thread.join().map_err(|_| Error::Unexpected("a load thread panicked".into()))??;
+      total.merge(&result);
     }
-    Ok(all)
+    Ok(total)
   }
 
   fn run_thread(&self, index: usize) -> Result<LoadResult> {
@@ -39,7 +41,7 @@
     let mut result = LoadResult::new();
     let interval = self.interval();
     let started = Instant::now();
-    let mut due = started + interval.map_or(Duration::ZERO, |one| one / 7 * index_of(index));
+    let mut due = started + interval.map_or(Duration::ZERO, |one| one / 7 * start_offset(index));
     while due.duration_since(started) < self.duration {
       wait_until(due);
       let status = connection.get(&self.path);
@@ -59,17 +61,19 @@
   }
 }
 
-/// Spreads the threads over an interval.
-fn index_of(index: usize) -> u32 {
+/// Returns how many sevenths of an interval a thread waits before its first request, which spreads
+/// the threads over the interval.
+fn start_offset(index: usize) -> u32 {
   u32::try_from(index % 7).unwrap_or(0)
 }
 
-/// Sleeps most of the way and spins the rest, for the kernel wakes sleepers late.
+/// Waits until `due`. Sleeps first and spins for the last `SPIN`, because the kernel wakes sleeping
+/// threads late.
 fn wait_until(due: Instant) {
   const SPIN: Duration = Duration::from_micros(150);
-  let left = due.saturating_duration_since(Instant::now());
-  if left > SPIN {
-    std::thread::sleep(left.saturating_sub(SPIN));
+  let remaining = due.saturating_duration_since(Instant::now());
+  if remaining > SPIN {
+    std::thread::sleep(remaining.saturating_sub(SPIN));
   }
   while Instant::now() < due {
     std::hint::spin_loop();
--- a/crates/ferryyoke-bench/src/load/load_result.rs
+++ b/crates/ferryyoke-bench/src/load/load_result.rs
@@ -2,24 +2,25 @@
 
 use hdrhistogram::Histogram;
 
-/// What a load met.
+/// The outcome of a load.
 pub struct LoadResult {
-  /// Requests that failed or were refused.
+  /// Requests that failed or were not answered with status 200.
   pub failed: u64,
-  /// Microseconds from when each answered request was due until its answer was whole.
+  /// Latency of answered requests in microseconds, from the scheduled send time to the complete
+  /// response.
   pub latency_us: Histogram<u64>,
-  /// Seconds that the load took.
+  /// Duration of the load in seconds.
   pub seconds: f64,
 }
 
 impl LoadResult {
-  /// Nothing yet.
+  /// Creates an empty result.
   pub fn new() -> Self {
-    let latency_us = Histogram::new_with_bounds(1, 60_000_000, 3).expect("sane bounds");
+    let latency_us = Histogram::new_with_bounds(1, 60_000_000, 3).expect("the bounds are valid");
     Self { failed: 0, latency_us, seconds: 0.0 }
   }
 
-  /// Counts one request.
+  /// Records one request.
   pub fn note(&mut self, latency: Duration, is_answered: bool) {
     if is_answered {
       let us = u64::try_from(latency.as_micros()).unwrap_or(u64::MAX);
@@ -29,20 +30,20 @@
     }
   }
 
-  /// Adds what another thread met.
+  /// Adds the result of another thread.
   pub fn merge(&mut self, other: &Self) {
     self.failed += other.failed;
-    self.latency_us.add(&other.latency_us).expect("equal bounds");
+    self.latency_us.add(&other.latency_us).expect("the bounds are equal");
     self.seconds = self.seconds.max(other.seconds);
   }
 
-  /// Milliseconds below which the share `quantile` of the answers came.
+  /// Returns the latency at `quantile` (0 to 1), in milliseconds.
   #[allow(clippy::cast_precision_loss)]
   pub fn quantile_ms(&self, quantile: f64) -> f64 {
     self.latency_us.value_at_quantile(quantile) as f64 / 1_000.0
   }
 
-  /// Answered requests a second.
+  /// Returns the answered requests per second.
   #[allow(clippy::cast_precision_loss)]
   pub fn per_second(&self) -> f64 {
     self.latency_us.len() as f64 / self.seconds.max(0.001)
--- a/crates/ferryyoke-bench/src/load/mod.rs
+++ b/crates/ferryyoke-bench/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! Load on one address, from threads with connections of their own.
+//! Load generation from several threads, each with its own connection.
 
 use super::*;
 
--- a/crates/ferryyoke-bench/src/process.rs
+++ b/crates/ferryyoke-bench/src/process.rs
@@ -1,12 +1,13 @@
 use super::*;
 
-/// A process that this tool started. It is killed when dropped.
+/// A child process, killed when dropped.
 pub struct Process {
   child: Child,
 }
 
 impl Process {
-  /// Starts `executable`, acting as `ferryyoke`, with its log in `log`.
+  /// Starts `executable` as `ferryyoke` with the arguments `words`. Its output goes to the file
+  /// `log`, which is overwritten.
   pub fn start(executable: &Path, words: &[String], log: &Path) -> Result<Self> {
     let log = fs::File::create(log)?;
     let child = std::process::Command::new(executable)
@@ -20,7 +21,7 @@
     Ok(Self { child })
   }
 
-  /// The process id.
+  /// Returns the process id.
   pub fn id(&self) -> u32 {
     self.child.id()
   }
@@ -29,24 +30,28 @@
   pub fn signal(&self, name: &str) -> Result {
     let id = self.id().to_string();
     let status = std::process::Command::new("kill").args([&format!("-{name}"), &id]).status()?;
-    if status.success() { Ok(()) } else { Err(Error::Unexpected(format!("kill -{name} {id}"))) }
+    if status.success() {
+      Ok(())
+    } else {
+      Err(Error::Unexpected(format!("`kill -{name} {id}` failed: {status}")))
+    }
   }
 
-  /// Kills the process and waits for its end.
+  /// Kills the process and waits until it has exited.
   pub fn kill(&mut self) -> Result {
     self.child.kill()?;
     self.child.wait()?;
     Ok(())
   }
 
-  /// The exit code, once the process ended.
+  /// Returns the exit code, or `None` while the process runs or if a signal ended it.
   pub fn exit_code(&mut self) -> Result<Option<i32>> {
     Ok(self.child.try_wait()?.and_then(|status| status.code()))
   }
 
-  /// Microseconds of processor time so far.
+  /// Returns the processor time used so far (user and system), in microseconds.
   pub fn cpu_us(&self) -> Result<u64> {
-    /// The kernel counts in these, on every platform that this tool runs on.
+    /// Linux reports processor time in ticks of 10 ms on every platform that this tool runs on.
     const US_PER_TICK: u64 = 10_000;
     let stat = fs::read_to_string(format!("/proc/{}/stat", self.id()))?;
     let after_name = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
@@ -56,12 +61,12 @@
     Ok((user + system) * US_PER_TICK)
   }
 
-  /// A size from the kernel's status of the process in kilobytes, such as `VmRSS` or `VmHWM`.
+  /// Returns a size from `/proc/PID/status` in kilobytes, such as `VmRSS` or `VmHWM`.
   pub fn memory_kb(&self, name: &str) -> Result<u64> {
     let status = fs::read_to_string(format!("/proc/{}/status", self.id()))?;
     let line = status.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(':'));
     let number = line.and_then(|rest| rest.split_whitespace().next()?.parse().ok());
-    number.ok_or_else(|| Error::Unexpected(format!("no {name} of process {}", self.id())))
+    number.ok_or_else(|| Error::Unexpected(format!("/proc/{}/status has no {name}", self.id())))
   }
 }
 
--- a/crates/ferryyoke-bench/src/sample.rs
+++ b/crates/ferryyoke-bench/src/sample.rs
@@ -1,22 +1,22 @@
-/// Numbers measured, with their median and spread.
+/// Measured values, kept sorted.
 #[derive(Clone, Debug, Default)]
 pub struct Sample {
   values: Vec<f64>,
 }
 
 impl Sample {
-  /// Adds a number.
+  /// Adds a value.
   pub fn add(&mut self, value: f64) {
     let at = self.values.partition_point(|known| *known < value);
     self.values.insert(at, value);
   }
 
-  /// How many numbers there are.
+  /// Returns the number of values.
   pub fn count(&self) -> usize {
     self.values.len()
   }
 
-  /// The number below which the share `quantile` of all lies; zero where there is none.
+  /// Returns the value at `quantile` (0 to 1); zero if there are no values.
   #[allow(clippy::cast_possible_truncation, clippy::cast_precision_loss, clippy::cast_sign_loss)]
   pub fn quantile(&self, quantile: f64) -> f64 {
     let last = self.values.len().saturating_sub(1);
@@ -24,24 +24,24 @@
     self.values.get(index.min(last)).copied().unwrap_or(0.0)
   }
 
-  /// The largest number.
+  /// Returns the largest value; zero if there are no values.
   pub fn max(&self) -> f64 {
     self.quantile(1.0)
   }
 
-  /// The middle number.
+  /// Returns the median; zero if there are no values.
   pub fn median(&self) -> f64 {
     self.quantile(0.5)
   }
 
-  /// The least, middle and largest number, for a JSON line.
+  /// Returns the minimum, median and maximum as a JSON object.
   pub fn spread(&self) -> serde_json::Value {
     serde_json::json!({
       "max": self.max(), "median": self.median(), "min": self.quantile(0.0),
     })
   }
 
-  /// The sum of all numbers.
+  /// Returns the sum of all values.
   pub fn sum(&self) -> f64 {
     self.values.iter().sum()
   }
--- a/crates/ferryyoke-bench/src/usage.rs
+++ b/crates/ferryyoke-bench/src/usage.rs
@@ -1,31 +1,32 @@
 use super::*;
 
-/// What the daemons of a fleet used so far, box by box.
+/// The resources that a fleet has used since it started. Vectors have one value per box.
 pub struct Usage {
-  /// When this was read.
+  /// When the values were read.
   at: Instant,
-  /// Bytes received and sent on links.
+  /// Bytes received and sent on links between daemons.
   pub bytes: Vec<f64>,
-  /// Calls that the store took.
+  /// Calls received by the store.
   pub calls: f64,
-  /// Microseconds of processor time.
+  /// Processor time of the daemons, in microseconds.
   pub cpu_us: Vec<f64>,
-  /// Resident memory in kilobytes.
+  /// Resident memory of the daemons at this time, in kilobytes.
   pub rss_kb: Vec<f64>,
 }
 
-/// What a fleet used a second between two readings, box by box.
+/// The resources that a fleet used per second between two readings. Vectors have one value per box.
 pub struct Rates {
-  /// Bytes received and sent on links, a second.
+  /// Bytes received and sent on links between daemons, per second.
   pub bytes: Vec<f64>,
-  /// Calls that the store took, a second.
+  /// Calls received by the store, per second.
   pub calls: f64,
-  /// Share of a core.
+  /// Processor cores used (1.0 is one full core).
   pub cpu_share: Vec<f64>,
 }
 
 impl Usage {
-  /// Reads what a fleet used so far.
+  /// Reads the current usage of a fleet. Boxes without a running daemon have no processor time and
+  /// memory values.
   #[allow(clippy::cast_precision_loss)]
   pub async fn of(fleet: &Fleet) -> Result<Self> {
     let mut usage = Self {
@@ -45,7 +46,7 @@
     Ok(usage)
   }
 
-  /// What was used a second since an earlier reading.
+  /// Returns the usage per second since an earlier reading.
   pub fn since(&self, earlier: &Self) -> Rates {
     let seconds = self.at.duration_since(earlier.at).as_secs_f64();
     let rate = |later: &[f64], earlier: &[f64]| -> Vec<f64> {
--- a/crates/ferryyoke-bench/tests/failures.rs
+++ b/crates/ferryyoke-bench/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Real daemons that are killed, frozen, cut off from the store, and stopped.
+//! Tests of real daemon processes that are killed, paused, stopped, or cut off from the store.
 
 mod support;
 
@@ -14,7 +14,7 @@
 };
 
 #[test]
-fn a_killed_daemon_does_not_stop_the_others_and_comes_back() {
+fn other_daemons_serve_while_one_is_killed_and_it_recovers_after_a_restart() {
   run(async {
     let mut fleet = fleet().boxes(9).start()?;
     fleet.configure().await?;
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_daemon_killed_under_load_takes_no_request_of_the_others_with_it() {
+fn killing_a_daemon_under_load_fails_at_most_one_request_sent_to_other_daemons() {
   run(async {
     let mut fleet = fleet().boxes(9).start()?;
     let version = fleet.configure().await?;
@@ -52,9 +52,9 @@
     pause_ms(1_500).await;
     fleet.boxes[3].start()?;
     fleet.wait_for_version(version).await?;
-    let result = load.join().expect("the load ends")?;
-    // Only an answer of which the killed box had sent the head and not the body cannot be asked for
-    // again; one request at most is so far at the moment of the kill.
+    let result = load.join().expect("the load thread does not panic")?;
+    // A request can't be retried once the killed box has sent the response head but not the whole
+    // body. At most one request is in that state when the daemon is killed.
     assert!(result.failed <= 1, "{} requests failed", result.failed);
     assert!(result.latency_us.len() > 1_000, "{} were answered", result.latency_us.len());
     assert_eq!(fleet.boxes[3].get("/archive/1").await?.0, 200);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_frozen_relay_is_replaced_and_harms_nothing_when_it_wakes() {
+fn a_paused_relay_is_replaced_and_does_not_revert_versions_when_it_resumes() {
   run(async {
     let mut fleet = fleet().boxes(9).data_halls(1).start()?;
     fleet.configure().await?;
@@ -71,34 +71,40 @@
     let other = a_subscriber(&fleet).await?;
     fleet.boxes[relay].signal("STOP")?;
     let version = fleet.change(other, "create route new path /new service archive").await?;
-    let frozen = fleet.boxes[relay].daemon.take();
+    let paused = fleet.boxes[relay].daemon.take();
     fleet.wait_for_version(version).await?;
     pause_ms(6_000).await;
     let newer = fleet.change(other, "delete route new").await?;
     fleet.wait_for_version(newer).await?;
-    fleet.boxes[relay].daemon = frozen;
+    fleet.boxes[relay].daemon = paused;
     fleet.boxes[relay].signal("CONT")?;
     fleet.wait_for_version(newer).await?;
     pause_ms(2_000).await;
     for one in &fleet.boxes {
-      assert_eq!(one.scrape().await?.version(), newer, "{} went back", one.box_id);
+      assert_eq!(
+        one.scrape().await?.version(),
+        newer,
+        "{} does not apply the newest version",
+        one.box_id
+      );
     }
-    let (holders, boxes) = (holders(&fleet).await?, fleet.boxes.len());
-    assert!((2..=3).contains(&holders), "{holders} of {boxes} boxes are relays");
+    let (relays, boxes) = (count_relays(&fleet).await?, fleet.boxes.len());
+    assert!((2..=3).contains(&relays), "{relays} of {boxes} boxes are relays");
     Ok(())
   });
 }
 
-async fn holders(fleet: &ferryyoke_bench::Fleet) -> ferryyoke_bench::Result<usize> {
-  let mut holders = 0;
+/// Returns the number of boxes that hold a relay slot.
+async fn count_relays(fleet: &ferryyoke_bench::Fleet) -> ferryyoke_bench::Result<usize> {
+  let mut relays = 0;
   for one in &fleet.boxes {
-    holders += usize::from(!status(one, "slot").await?.is_null());
+    relays += usize::from(!status(one, "slot").await?.is_null());
   }
-  Ok(holders)
+  Ok(relays)
 }
 
 #[test]
-fn a_store_outage_refuses_changes_and_nothing_else() {
+fn a_store_outage_causes_only_changes_to_be_refused() {
   run(async {
     let mut fleet = fleet().boxes(6).prepare()?;
     for one in &mut fleet.boxes[..5] {
@@ -128,7 +134,7 @@
 }
 
 #[test]
-fn a_store_restored_to_an_older_state_is_noticed_and_mended() {
+fn a_store_rolled_back_to_an_older_state_is_detected_and_repaired() {
   run(async {
     let fleet = fleet().boxes(4).data_halls(2).start()?;
     fleet.configure().await?;
@@ -140,8 +146,8 @@
     let refused = fleet.boxes[1].state("create route other path /other service archive").await?;
     assert_eq!(refused.outcome, AnswerOutcome::Refused);
     assert!(refused.message.contains("restore store"), "{}", refused.message);
-    let mended = fleet.boxes[1].state("restore store").await?;
-    assert_eq!(mended.outcome, AnswerOutcome::Done, "{}", mended.message);
+    let repaired = fleet.boxes[1].state("restore store").await?;
+    assert_eq!(repaired.outcome, AnswerOutcome::Done, "{}", repaired.message);
     let next = fleet.change(2, "create route other path /other service archive").await?;
     assert_eq!(next, version.next());
     fleet.wait_for_version(next).await?;
@@ -150,7 +156,7 @@
 }
 
 #[test]
-fn a_planned_stop_finishes_what_is_under_way() {
+fn a_planned_stop_completes_requests_in_flight() {
   run(async {
     let mut fleet = fleet().boxes(6).start()?;
     fleet.configure().await?;
@@ -171,14 +177,15 @@
     fleet.boxes[0].signal("TERM")?;
     let code = fleet.boxes[0].exit_code(Duration::from_secs(20)).await?;
     assert_eq!(code, 0);
-    let status = request.join().expect("the caller ends").expect("an event loop");
-    assert_eq!(status.expect("the answer came whole"), 200);
+    let status =
+      request.join().expect("the caller thread does not panic").expect("the event loop starts");
+    assert_eq!(status.expect("the response is complete"), 200);
     Ok(())
   });
 }
 
 #[test]
-fn a_second_daemon_on_the_same_ports_is_refused() {
+fn a_second_daemon_on_the_same_ports_fails_to_start() {
   run(async {
     let fleet = fleet().boxes(1).start()?;
     fleet.wait_until_ready().await?;
--- a/crates/ferryyoke-bench/tests/operators.rs
+++ b/crates/ferryyoke-bench/tests/operators.rs
@@ -1,4 +1,4 @@
-//! Operators at real daemons: races, refusals, and questions.
+//! Tests of operator statements to real daemons: concurrent changes, refusals and queries.
 
 mod support;
 
@@ -13,35 +13,36 @@
   support::{fleet, run},
 };
 
-/// Operators that race.
+/// Number of concurrent operators.
 const OPERATORS: usize = 6;
 
-/// Changes that each operator makes.
+/// Number of rounds per operator; each round changes a route of its own and the shared route.
 const CHANGES: usize = 8;
 
-/// What one operator was told of one change.
-struct Told {
+/// The answer to one change and the path segment that identifies the change in the history.
+struct ChangeResult {
   answer: Answer,
   route: String,
 }
 
-/// One operator states changes at one daemon, on routes of its own and on one that all fight for.
-async fn operate(fleet: &Fleet, operator: usize) -> Result<Vec<Told>> {
-  let mut told = Vec::new();
+/// Runs one operator, which sends changes to one daemon: to its own routes and to a shared route
+/// that all operators change.
+async fn run_operator(fleet: &Fleet, operator: usize) -> Result<Vec<ChangeResult>> {
+  let mut results = Vec::new();
   for change in 0..CHANGES {
     let route = format!("own-{operator}-{change}");
     let text = format!("create route {route} path /{route} service archive");
     let one = &fleet.boxes[operator % fleet.boxes.len()];
-    told.push(Told { answer: one.state(&text).await?, route });
-    let fought = format!("set route shared path /shared-{operator}-{change}");
-    let answer = one.state(&fought).await?;
-    told.push(Told { answer, route: format!("shared-{operator}-{change}") });
+    results.push(ChangeResult { answer: one.state(&text).await?, route });
+    let contended = format!("set route shared path /shared-{operator}-{change}");
+    let answer = one.state(&contended).await?;
+    results.push(ChangeResult { answer, route: format!("shared-{operator}-{change}") });
   }
-  Ok(told)
+  Ok(results)
 }
 
 #[test]
-fn racing_operators_leave_one_legal_history() {
+fn concurrent_operators_produce_one_consistent_history() {
   run(async {
     let fleet = fleet().boxes(6).start()?;
     fleet.configure().await?;
@@ -49,16 +50,16 @@
     fleet.wait_for_version(first).await?;
     let faults = StoreFaults { lose_answers: 40, ..StoreFaults::default() };
     fleet.set_store_faults(&faults).await?;
-    let racing = (0..OPERATORS).map(|operator| operate(&fleet, operator));
-    let told = futures_util::future::join_all(racing).await;
-    let told: Vec<Told> =
-      told.into_iter().collect::<Result<Vec<_>>>()?.into_iter().flatten().collect();
+    let operators = (0..OPERATORS).map(|operator| run_operator(&fleet, operator));
+    let results = futures_util::future::join_all(operators).await;
+    let results: Vec<ChangeResult> =
+      results.into_iter().collect::<Result<Vec<_>>>()?.into_iter().flatten().collect();
     fleet.set_store_faults(&StoreFaults::default()).await?;
     let last = fleet.change(1, "create route last path /last service archive").await?;
     fleet.wait_for_version(last).await?;
 
     let history = fleet.boxes[2].state("history 200").await?;
-    check_history(&history, &told);
+    check_history(&history, &results);
     for one in &fleet.boxes {
       assert_eq!(one.state("history 200").await?.table, history.table, "{}", one.box_id);
     }
@@ -66,21 +67,22 @@
   });
 }
 
-/// Every version made one change, every acknowledged change made the version it was told, and no
-/// refused change made any.
-fn check_history(history: &Answer, told: &[Told]) {
-  let column =
-    |name: &str| history.table.columns.iter().position(|column| column == name).expect("a column");
+/// Checks that each version comes from one change, that each acknowledged change created the
+/// version in its answer, and that no refused change created a version.
+fn check_history(history: &Answer, results: &[ChangeResult]) {
+  let column = |name: &str| {
+    history.table.columns.iter().position(|column| column == name).expect("the column exists")
+  };
   let (version, statement) = (column("version"), column("statement"));
   let mut by_version = BTreeMap::new();
   for row in &history.table.rows {
     let known = by_version.insert(row[version].as_u64(), row[statement].as_str().unwrap_or(""));
-    assert_eq!(known, None, "a version stands twice in history");
+    assert_eq!(known, None, "the history has a version twice");
   }
   let newest = by_version.keys().max().copied().flatten();
-  assert_eq!(newest, Some(by_version.len() as u64), "versions have gaps");
+  assert_eq!(newest, Some(by_version.len() as u64), "the history skips a version");
   let mut acknowledged = 0;
-  for Told { answer, route } in told {
+  for ChangeResult { answer, route } in results {
     let made: Vec<&Option<u64>> = by_version
       .iter()
       .filter(|(_, statement)| {
@@ -94,15 +96,17 @@
         let version = answer.version.map(|version| version.0);
         assert_eq!(made, [&version], "{route}: {}", answer.message);
       }
-      AnswerOutcome::Refused => assert!(made.is_empty(), "{route} was refused and made {made:?}"),
-      AnswerOutcome::Unknown => assert!(made.len() <= 1, "{route} made {made:?}"),
+      AnswerOutcome::Refused => {
+        assert!(made.is_empty(), "{route} was refused but created versions {made:?}");
+      }
+      AnswerOutcome::Unknown => assert!(made.len() <= 1, "{route} created versions {made:?}"),
     }
   }
-  assert!(acknowledged >= OPERATORS * CHANGES, "only {acknowledged} changes were accepted");
+  assert!(acknowledged >= OPERATORS * CHANGES, "only {acknowledged} changes were acknowledged");
 }
 
 #[test]
-fn bad_statements_get_clear_answers_and_change_nothing() {
+fn invalid_statements_are_refused_with_a_reason_and_change_nothing() {
   run(async {
     let fleet = fleet().boxes(2).data_halls(1).start()?;
     let version = fleet.configure().await?;
@@ -131,13 +135,13 @@
       assert!(answer.message.contains(expected), "{shown}: {}", answer.message);
     }
     let rollout = fleet.boxes[0].state("rollout").await?;
-    assert_eq!(rollout.version, Some(version), "a refused statement changed something");
+    assert_eq!(rollout.version, Some(version), "a refused statement created a version");
     Ok(())
   });
 }
 
 #[test]
-fn a_document_can_be_exported_and_applied_without_a_change() {
+fn applying_an_exported_document_changes_only_what_differs() {
   run(async {
     let fleet = fleet().boxes(2).data_halls(1).start()?;
     let version = fleet.configure().await?;
@@ -160,7 +164,7 @@
 }
 
 #[test]
-fn tokens_and_teams_bound_what_an_operator_may_do() {
+fn tokens_and_teams_limit_what_an_operator_may_do() {
   run(async {
     let fleet = fleet()
       .boxes(1)
@@ -200,13 +204,13 @@
     fleet.wait_for_version(own.version.expect("a version")).await?;
     let history = state(ray, "history 1").await?;
     assert_eq!(history.table.rows[0][2], "eve", "{history}");
-    assert!(!fleet.boxes[0].log().contains("token"), "a token may be in the log");
+    assert!(!fleet.boxes[0].log().contains("token"), "the log mentions a token");
     Ok(())
   });
 }
 
 #[test]
-fn any_daemon_tells_why_a_request_went_where_it_went() {
+fn any_daemon_explains_how_a_request_was_routed() {
   run(async {
     let mut fleet = fleet().boxes(6).start()?;
     fleet.configure().await?;
@@ -225,9 +229,9 @@
       assert!(text.contains(fact), "`{fact}` is not in {text}");
     }
     fleet.boxes[4].kill()?;
-    let lost = fleet.boxes[1].state(&format!("why request {id}")).await?;
-    assert_eq!(lost.outcome, AnswerOutcome::Refused);
-    assert!(lost.message.contains("no box remembers"), "{}", lost.message);
+    let unavailable = fleet.boxes[1].state(&format!("why request {id}")).await?;
+    assert_eq!(unavailable.outcome, AnswerOutcome::Refused);
+    assert!(unavailable.message.contains("no box remembers"), "{}", unavailable.message);
     Ok(())
   });
 }
--- a/crates/ferryyoke-bench/tests/reload.rs
+++ b/crates/ferryyoke-bench/tests/reload.rs
@@ -1,4 +1,4 @@
-//! Settings that change while a daemon runs.
+//! Tests that settings are reloaded while a daemon runs.
 
 mod support;
 
@@ -8,7 +8,7 @@
   support::{fleet, pause_ms, run},
 };
 
-/// Waits until the log of a box has a text so many times.
+/// Waits until the log of a box contains `text` at least `times` times.
 async fn wait_for_log(one: &FleetBox, text: &str, times: usize) -> Result {
   for _ in 0..600 {
     if one.log().matches(text).count() >= times {
@@ -16,11 +16,11 @@
     }
     pause_ms(20).await;
   }
-  Err(Error::Unexpected(format!("the log lacks `{text}` {times} times:\n{}", one.log())))
+  Err(Error::Unexpected(format!("the log does not contain `{text}` {times} times:\n{}", one.log())))
 }
 
 #[test]
-fn settings_are_read_again_with_and_without_a_signal() {
+fn settings_are_reloaded_on_a_signal_and_on_a_file_change() {
   run(async {
     let fleet = fleet().boxes(1).start()?;
     fleet.wait_until_ready().await?;
@@ -36,7 +36,7 @@
 
     fs::write(one.settings_path(), "{ this is no JSON")?;
     wait_for_log(one, "the settings stay as they are", 1).await?;
-    assert!(one.scrape().await.is_ok(), "the daemon goes on");
+    assert!(one.scrape().await.is_ok(), "the daemon keeps running");
     Ok(())
   });
 }
--- a/crates/ferryyoke-bench/tests/requests.rs
+++ b/crates/ferryyoke-bench/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Requests through real daemons, checked against what the backend servers journaled.
+//! Tests of requests through real daemons, checked against the journals of the backend servers.
 
 mod support;
 
@@ -19,8 +19,8 @@
   support::{fleet, pause_ms, run},
 };
 
-/// What a caller learned of one request.
-struct Learned {
+/// The outcome of one request as its caller sees it.
+struct RequestResult {
   key: String,
   outcome: Outcome,
 }
@@ -33,8 +33,8 @@
   Unknown,
 }
 
-/// Sends a request that must run at most once.
-async fn certify(callers: SocketAddr, key: &str) -> Result<Learned> {
+/// Sends a request with an idempotency key, which must run at most once.
+async fn certify(callers: SocketAddr, key: &str) -> Result<RequestResult> {
   let request = Request::post(format!("/certify/{key}"))
     .header("host", callers.to_string())
     .header(headers::KEY, key)
@@ -53,10 +53,10 @@
       },
     },
   };
-  Ok(Learned { key: key.into(), outcome })
+  Ok(RequestResult { key: key.into(), outcome })
 }
 
-/// How often each key ran, by the journals of all backend servers.
+/// Counts how often each key ran, from the journals of all backend servers.
 async fn runs(fleet: &Fleet) -> Result<BTreeMap<String, usize>> {
   let mut runs = BTreeMap::new();
   for one in &fleet.boxes {
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn no_key_runs_twice_and_not_run_is_true_under_faults() {
+fn under_faults_no_key_runs_twice_and_not_run_answers_are_correct() {
   run(async {
     let mut fleet = fleet().boxes(6).start()?;
     fleet.configure().await?;
@@ -78,7 +78,7 @@
       let slow = BackendFaults { delay_ms: 30, ..BackendFaults::default() };
       one.set_backend_faults(&slow).await?;
     }
-    let mut learned = Vec::new();
+    let mut results = Vec::new();
     for round in 0..12 {
       let lose_answers = if round % 3 == 1 { 6 } else { 0 };
       let slow_ms = if round % 4 == 2 { 150 } else { 0 };
@@ -92,40 +92,44 @@
       }
       let calls = (0..20).map(|index| {
         let callers = fleet.boxes[index % 6].callers;
-        // Each key comes twice, through two daemons.
+        // Each key is sent twice, through two daemons.
         certify_owned(callers, format!("key-{round}-{}", index / 2))
       });
-      for one in futures_util::future::join_all(calls).await {
-        learned.push(one?);
+      for result in futures_util::future::join_all(calls).await {
+        results.push(result?);
       }
     }
     pause_ms(3_000).await;
     let runs = runs(&fleet).await?;
-    let answered = learned.iter().filter(|one| one.outcome == Outcome::Answered).count();
-    assert!(answered >= 100, "only {answered} of {} requests were answered", learned.len());
+    let answered = results.iter().filter(|result| result.outcome == Outcome::Answered).count();
+    assert!(answered >= 100, "only {answered} of {} requests were answered", results.len());
     for (key, count) in &runs {
       assert_eq!(*count, 1, "{key} ran {count} times");
     }
     let mut by_key: BTreeMap<&str, Vec<Outcome>> = BTreeMap::new();
-    for one in &learned {
-      by_key.entry(&one.key).or_default().push(one.outcome);
+    for result in &results {
+      by_key.entry(&result.key).or_default().push(result.outcome);
     }
     for (key, outcomes) in by_key {
       let all_not_run = outcomes.iter().all(|outcome| *outcome == Outcome::NotRun);
-      assert!(!all_not_run || !runs.contains_key(key), "{key} was `not run` and ran");
+      assert!(
+        !all_not_run || !runs.contains_key(key),
+        "{key} ran although every answer was `not-run`"
+      );
       let any_answered = outcomes.contains(&Outcome::Answered);
-      assert!(!any_answered || runs.contains_key(key), "{key} was answered and did not run");
+      assert!(!any_answered || runs.contains_key(key), "{key} was answered but did not run");
     }
     Ok(())
   });
 }
 
-async fn certify_owned(callers: SocketAddr, key: String) -> Result<Learned> {
+/// Like [`certify`], but owns the key, so that calls can run concurrently.
+async fn certify_owned(callers: SocketAddr, key: String) -> Result<RequestResult> {
   certify(callers, &key).await
 }
 
 #[test]
-fn an_answer_that_is_cut_off_never_looks_whole() {
+fn a_truncated_response_never_looks_complete() {
   run(async {
     let fleet = fleet().boxes(3).start()?;
     fleet.configure().await?;
@@ -138,7 +142,7 @@
         Err(_) => {}
         Ok((status, body)) => {
           let text = String::from_utf8_lossy(&body).to_string();
-          assert_eq!(status, 502, "a cut answer came as {text}");
+          assert_eq!(status, 502, "a truncated response was passed on as {text}");
           assert!(text.contains("\"outcome\":\"unknown\""), "{text}");
         }
       }
@@ -147,14 +151,18 @@
       one.set_backend_faults(&BackendFaults::default()).await?;
     }
     for one in &fleet.boxes {
-      assert_eq!(one.get("/archive/1").await?.0, 200, "after the cuts");
+      assert_eq!(
+        one.get("/archive/1").await?.0,
+        200,
+        "after the backend servers stop truncating responses"
+      );
     }
     Ok(())
   });
 }
 
 #[test]
-fn slots_are_exact_however_many_daemons_send() {
+fn slots_are_never_exceeded_however_many_daemons_send() {
   run(async {
     let fleet = fleet().boxes(6).slots(4).start()?;
     fleet.configure().await?;
@@ -171,18 +179,18 @@
       *statuses.entry(got?.0.as_u16()).or_default() += 1;
     }
     let known = statuses.keys().all(|status| [200, 503].contains(status));
-    // Two backend servers run four requests each, and 24 wait at each.
+    // Each of the two backend servers runs four requests and queues 24.
     assert!(known && statuses.get(&200) >= Some(&50), "{statuses:?}");
     for one in fleet.boxes.iter().filter(|one| one.service == "archive") {
       let journal = one.journal().await?;
-      assert!(journal.at_once_max <= 4, "{} ran at once in 4 slots", journal.at_once_max);
+      assert!(journal.at_once_max <= 4, "{} requests ran at once in 4 slots", journal.at_once_max);
     }
     Ok(())
   });
 }
 
 #[test]
-fn a_draining_backend_server_gets_no_new_work() {
+fn a_draining_backend_server_gets_no_new_requests() {
   run(async {
     let fleet = fleet().boxes(6).start()?;
     fleet.configure().await?;
@@ -206,11 +214,11 @@
     fleet.configure().await?;
     for index in 0..6 {
       fleet.boxes[index].signal("TERM")?;
-      // Callers know that the box goes away and use the others.
-      for turn in 0..40 {
-        let other = &fleet.boxes[(index + 1 + turn % 5) % 6];
+      // Callers send to the other boxes while this one stops.
+      for attempt in 0..40 {
+        let other = &fleet.boxes[(index + 1 + attempt % 5) % 6];
         let (status, body) = other.get("/archive/1").await?;
-        assert_eq!(status, 200, "box {index} stops: {body:?}");
+        assert_eq!(status, 200, "while box {index} stops: {body:?}");
         pause_ms(50).await;
       }
       assert_eq!(fleet.boxes[index].exit_code(Duration::from_secs(10)).await?, 0);
@@ -224,11 +232,11 @@
 }
 
 #[test]
-fn a_big_upload_is_streamed() {
+fn a_large_upload_is_streamed() {
   run(async {
     let fleet = fleet().boxes(3).start()?;
     fleet.configure().await?;
-    let daemon = fleet.boxes[0].daemon.as_ref().expect("it runs");
+    let daemon = fleet.boxes[0].daemon.as_ref().expect("the daemon is running");
     let before_kb = daemon.memory_kb("VmHWM")?;
     let pieces = 1_600;
     let body = streamed(pieces);
@@ -241,12 +249,12 @@
     let answer: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
     assert_eq!(answer["bytes"], pieces * (64 << 10));
     let grown_kb = daemon.memory_kb("VmHWM")? - before_kb;
-    assert!(grown_kb < 16_384, "an upload of 100 MB took {grown_kb} kB");
+    assert!(grown_kb < 16_384, "an upload of 100 MB increased the memory peak by {grown_kb} kB");
     Ok(())
   });
 }
 
-/// A body of no told length, in pieces.
+/// Creates a body without a content length, sent in pieces of 64 KiB.
 fn streamed(pieces: usize) -> web::AnyBody {
   let piece = bytes::Bytes::from(vec![7; 64 << 10]);
   let frames = (0..pieces)
@@ -255,11 +263,11 @@
 }
 
 #[test]
-fn an_upload_goes_on_to_the_next_box_where_the_first_has_no_room() {
+fn an_upload_is_sent_to_another_box_when_the_first_has_no_free_slot() {
   run(async {
     let fleet = fleet().boxes(12).slots(1).start()?;
     fleet.configure().await?;
-    // Four boxes serve the service, and three of them are busy for long.
+    // Four boxes serve the service. Three of them are kept busy for several seconds.
     let busy = [2, 5, 8];
     let slow = BackendFaults { delay_ms: 6_000, ..BackendFaults::default() };
     for index in busy {
@@ -269,7 +277,7 @@
     for number in 0..24 {
       monoio::spawn(async move {
         let request = Request::get(format!("/intake/{number}")).header("host", callers.to_string());
-        let request = request.body(web::empty()).expect("a fixed head");
+        let request = request.body(web::empty()).expect("the request head is valid");
         let pool = std::rc::Rc::new(web::Pool::new(1_000));
         pool.exchange(callers, request, 1 << 20).await.ok();
       });
@@ -279,7 +287,7 @@
         pause_ms(10).await;
       }
     }
-    // Daemons that have sent nothing yet do not know which boxes are busy.
+    // These daemons have sent no request yet, so they do not know which boxes are busy.
     let pool = std::rc::Rc::new(web::Pool::new(1_000));
     for index in [1, 3, 4, 6, 7, 9, 10] {
       let callers = fleet.boxes[index].callers;
@@ -292,10 +300,11 @@
   });
 }
 
-/// Sends raw bytes and returns what comes back until the daemon closes, or a second passes.
-fn raw(callers: SocketAddr, bytes: &[u8]) -> String {
-  let mut stream = TcpStream::connect(callers).expect("a connection");
-  stream.set_read_timeout(Some(Duration::from_secs(1))).expect("a timeout");
+/// Sends raw bytes and returns everything received until the daemon closes the connection or sends
+/// nothing for a second.
+fn send_raw(callers: SocketAddr, bytes: &[u8]) -> String {
+  let mut stream = TcpStream::connect(callers).expect("the daemon accepts connections");
+  stream.set_read_timeout(Some(Duration::from_secs(1))).expect("the timeout can be set");
   stream.write_all(bytes).ok();
   let mut answer = Vec::new();
   stream.read_to_end(&mut answer).ok();
@@ -316,46 +325,49 @@
       b"POST /archive/x HTTP/1.1\r\nhost: a\r\ncontent-length: +3\r\n\r\nabc",
     ];
     for request in requests {
-      let answer = raw(callers, request);
+      let answer = send_raw(callers, request);
       let shown = String::from_utf8_lossy(request).to_string();
       assert!(answer.starts_with("HTTP/1.1 400"), "{shown:?} was answered {answer:?}");
     }
     let mut long = b"GET /archive/x HTTP/1.1\r\nhost: a\r\nx-long: ".to_vec();
     long.extend(vec![b'a'; 100_000]);
-    let answer = raw(callers, &long);
-    assert!(answer.starts_with("HTTP/1.1 431"), "a long head was answered {answer:?}");
-    let journal: usize = {
+    let answer = send_raw(callers, &long);
+    assert!(
+      answer.starts_with("HTTP/1.1 431"),
+      "a request with an oversized head was answered {answer:?}"
+    );
+    let runs: usize = {
       let mut runs = 0;
       for one in &fleet.boxes {
         runs += one.journal().await?.runs.iter().filter(|run| run.line.contains("/x")).count();
       }
       runs
     };
-    assert_eq!(journal, 0, "an ambiguous request reached a backend server");
+    assert_eq!(runs, 0, "an ambiguous request reached a backend server");
     Ok(())
   });
 }
 
 #[test]
-fn a_length_beside_chunks_is_refused() {
+fn a_content_length_with_chunked_encoding_is_refused() {
   run(async {
     let fleet = fleet().boxes(3).start()?;
     fleet.configure().await?;
     let request = b"POST /archive/x HTTP/1.1\r\nhost: a\r\ncontent-length: 3\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n";
-    let answer = raw(fleet.boxes[0].callers, request);
+    let answer = send_raw(fleet.boxes[0].callers, request);
     assert!(answer.starts_with("HTTP/1.1 400"), "it was answered {answer:?}");
     Ok(())
   });
 }
 
 #[test]
-fn headers_between_daemons_do_not_reach_the_caller() {
+fn internal_headers_between_daemons_do_not_reach_the_caller() {
   run(async {
     let fleet = fleet().boxes(3).start()?;
     fleet.configure().await?;
     // The second box serves another service, so the request passes two daemons.
     let request = b"GET /archive/1 HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n";
-    let answer = raw(fleet.boxes[1].callers, request);
+    let answer = send_raw(fleet.boxes[1].callers, request);
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     assert!(answer.contains("x-ferryyoke-request-id: box-001"), "{answer}");
     for name in [headers::CONDITION, headers::SEAL, headers::SERVICE, headers::REPEATABLE] {
@@ -366,13 +378,13 @@
 }
 
 #[test]
-fn a_loop_ends_with_a_clear_error() {
+fn a_request_at_the_depth_limit_is_refused_as_a_loop() {
   run(async {
     let fleet = fleet().boxes(3).start()?;
     fleet.configure().await?;
     let request =
       b"GET /archive/x HTTP/1.1\r\nhost: a\r\nx-ferryyoke-depth: 32\r\nconnection: close\r\n\r\n";
-    let answer = raw(fleet.boxes[0].callers, request);
+    let answer = send_raw(fleet.boxes[0].callers, request);
     assert!(answer.starts_with("HTTP/1.1 508"), "{answer}");
     assert!(answer.contains("x-ferryyoke-outcome: not-run"), "{answer}");
     Ok(())
