--- a/crates/ferryyoke-bench/src/commands/at_most_once.rs
+++ b/crates/ferryyoke-bench/src/commands/at_most_once.rs
@@ -67,7 +67,8 @@
     let key = format!("key-{caller}-{number}");
     for attempt in 0..2 {
       let one = &fleet.boxes[(caller + attempt) % fleet.boxes.len()];
-      let (status, body) = one.post_once(&format!("/certify/{key}"), &key, "a transcript").await?;
+      let (status, body) =
+        one.post_with_key(&format!("/certify/{key}"), &key, "a transcript").await?;
       let is_not_run = String::from_utf8_lossy(&body).contains("not-run");
       match status {
         StatusCode::OK => counts.answered += 1,
--- a/crates/ferryyoke-bench/src/commands/balance.rs
+++ b/crates/ferryyoke-bench/src/commands/balance.rs
@@ -51,10 +51,10 @@
   {
     let (mut p50, mut p99, mut refused) = (Sample::default(), Sample::default(), Sample::default());
     for seed in 0..get(matches, "runs") {
-      let run = Simulation::new(strategy, seed as u64).finish();
-      p50.add(run.quantile_ms(0.5));
-      p99.add(run.quantile_ms(0.99));
-      refused.add(count_u64(run.failed) / count_u64(run.failed + run.latency_us.len()));
+      let result = Simulation::new(strategy, seed as u64).run();
+      p50.add(result.quantile_ms(0.5));
+      p99.add(result.quantile_ms(0.99));
+      refused.add(count_u64(result.failed) / count_u64(result.failed + result.latency_us.len()));
     }
     print(&serde_json::json!({
       "measure": "balance",
@@ -109,7 +109,7 @@
   }
 
   #[allow(clippy::cast_precision_loss, clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-  fn finish(mut self) -> LoadResult {
+  fn run(mut self) -> LoadResult {
     let mean_us = WORK_US as f64 / (LOAD * (SERVERS * SLOTS) as f64);
     let mut now_us = 0;
     let mut number = 0;
@@ -117,13 +117,13 @@
       let pause_us = -mean_us * (1.0 - self.rng.random::<f64>()).ln();
       now_us += pause_us as u64 + 1;
       number += 1;
-      self.end_until(now_us);
-      self.arrive(now_us, number);
+      self.complete_until(now_us);
+      self.start_request(now_us, number);
     }
     self.result
   }
 
-  fn arrive(&mut self, now_us: u64, number: u64) {
+  fn start_request(&mut self, now_us: u64, number: u64) {
     let daemon = self.rng.random_range(0..DAEMONS);
     let server = self.choose(now_us, daemon);
     let box_id = self.box_id(server);
@@ -131,24 +131,24 @@
     self.daemons[daemon].in_flight[server] += 1;
     self.daemons[daemon].balancer.started(&box_id);
     let work_us = self.work_us(now_us, server);
-    if let Some(end_us) = self.servers[server].take(now_us, work_us) {
+    if let Some(end_us) = self.servers[server].enqueue(now_us, work_us) {
       self.ends.insert((end_us, number), (daemon, server, end_us - now_us));
       return;
     }
-    self.result.note(Duration::ZERO, false);
+    self.result.record(Duration::ZERO, false);
     self.daemons[daemon].in_flight[server] -= 1;
     self.daemons[daemon].balancer.completed(now, &box_id, Completion::Shed { condition: None });
     self.daemons[daemon].balancer.ended(&box_id);
   }
 
-  fn end_until(&mut self, now_us: u64) {
+  fn complete_until(&mut self, now_us: u64) {
     while let Some(entry) = self.ends.first_entry().filter(|entry| entry.key().0 <= now_us) {
       let ((end_us, _), (daemon, server, latency_us)) = entry.remove_entry();
       let box_id = self.box_id(server);
       let load_percent = self.servers[server].reported_load(end_us, server);
       let condition = Some(Condition { load_percent, ..Condition::default() });
       let now = Time(end_us / 1_000);
-      self.result.note(Duration::from_micros(latency_us), true);
+      self.result.record(Duration::from_micros(latency_us), true);
       let daemon = &mut self.daemons[daemon];
       daemon.in_flight[server] -= 1;
       daemon.balancer.completed(
@@ -214,7 +214,7 @@
 
 impl Server {
   /// Adds a request and returns when it ends, in microseconds; `None` if the queue is full.
-  fn take(&mut self, now_us: u64, work_us: u64) -> Option<u64> {
+  fn enqueue(&mut self, now_us: u64, work_us: u64) -> Option<u64> {
     self.waiting_until_us.retain(|until| *until > now_us);
     let slot = self.free_at_us.iter_mut().min_by_key(|free_at| **free_at)?;
     let start_us = now_us.max(*slot);
--- a/crates/ferryyoke-bench/src/commands/capacity.rs
+++ b/crates/ferryyoke-bench/src/commands/capacity.rs
@@ -52,7 +52,7 @@
   }
 
   fn print(&self) {
-    let fit = Fit::of(&self.points);
+    let fit = LinearFit::of(&self.points);
     let at_design = fit.at(self.design);
     // The driver value at which the fitted line reaches the budget.
     let fits_until =
@@ -149,15 +149,15 @@
   for one in &fleet.boxes {
     links.push(links_of_relay(one).await?);
   }
-  let before = Usage::of(&fleet).await?;
+  let before = Usage::read(&fleet).await?;
   monoio::time::sleep(IDLE_PERIOD).await;
-  let after = Usage::of(&fleet).await?;
-  let rest = after.since(&before);
+  let after = Usage::read(&fleet).await?;
+  let idle = after.since(&before);
   let relays = count(links.iter().flatten().count());
-  rows.store_at_rest.points.push((relays, rest.calls));
+  rows.store_at_rest.points.push((relays, idle.calls));
   let mut subscribers = [Sample::default(), Sample::default(), Sample::default()];
   for (index, links) in links.iter().enumerate() {
-    let used = [rest.bytes[index], rest.cpu_share[index], after.rss_kb[index]];
+    let used = [idle.bytes[index], idle.cpu_share[index], after.rss_kb[index]];
     match links {
       Some(links) => {
         rows.relay_bytes.points.push((*links, used[0]));
@@ -176,14 +176,14 @@
   let before = fleet.store_calls().await?;
   convergence::make_changes(&fleet, CHANGES).await?;
   let calls = count_u64(fleet.store_calls().await? - before);
-  let extra = calls - rest.calls * started.elapsed().as_secs_f64();
+  let extra = calls - idle.calls * started.elapsed().as_secs_f64();
   rows.store_per_change.points.push((relays, extra / count(CHANGES)));
   Ok(())
 }
 
 /// Returns the number of links of a relay; `None` if the daemon is not a relay.
 async fn links_of_relay(one: &FleetBox) -> Result<Option<f64>> {
-  let answer = one.state("status").await?;
+  let answer = one.run_statements("status").await?;
   let field = |name: &str| {
     let row = answer.table.rows.iter().find(|row| row[0].as_str() == Some(name));
     row.map(|row| row[1].clone()).unwrap_or_default()
@@ -211,7 +211,7 @@
   }
   let daemon = fleet.boxes[1].daemon.as_ref();
   let rss_kb = daemon.map_or(Ok(0), |daemon| daemon.memory_kb("VmRSS"))?;
-  let document = fleet.boxes[1].state("export").await?.document.unwrap_or_default();
+  let document = fleet.boxes[1].run_statements("export").await?.document.unwrap_or_default();
   // The stored form also holds a revision for each object, estimated at 40 bytes per route.
   let bytes = document.to_string().len() + routes * 40;
   let _ = version;
--- a/crates/ferryyoke-bench/src/commands/churn.rs
+++ b/crates/ferryyoke-bench/src/commands/churn.rs
@@ -25,9 +25,9 @@
   fleet.configure().await?;
   monoio::time::sleep(Duration::from_secs(5)).await;
   let (mut draining_ms, mut back_ms) = (Sample::default(), Sample::default());
-  let before_idle = Usage::of(&fleet).await?;
+  let before_idle = Usage::read(&fleet).await?;
   monoio::time::sleep(Duration::from_secs(10)).await;
-  let before = Usage::of(&fleet).await?;
+  let before = Usage::read(&fleet).await?;
   let idle: f64 = before.since(&before_idle).bytes.iter().sum();
   let started = Instant::now();
   for _ in 0..get(matches, "rounds") {
@@ -35,7 +35,7 @@
     back_ms.add(set_draining(&fleet, herd, false).await?);
   }
   let seconds = started.elapsed().as_secs_f64();
-  let total: f64 = Usage::of(&fleet).await?.since(&before).bytes.iter().sum();
+  let total: f64 = Usage::read(&fleet).await?.since(&before).bytes.iter().sum();
   let updates = count(2 * herd * get(matches, "rounds"));
   print(&serde_json::json!({
     "measure": "churn",
@@ -59,6 +59,6 @@
     one.set_backend_faults(&faults).await?;
   }
   let live = if draining { fleet.boxes.len() - herd } else { fleet.boxes.len() };
-  fleet.wait_for_live(live).await?;
+  fleet.wait_for_live_backend_servers(live).await?;
   Ok(started.elapsed().as_secs_f64() * 1_000.0)
 }
--- a/crates/ferryyoke-bench/src/commands/convergence.rs
+++ b/crates/ferryyoke-bench/src/commands/convergence.rs
@@ -33,19 +33,19 @@
     .start()?;
   fleet.configure().await?;
   monoio::time::sleep(SETTLE_TIME).await;
-  let before_rest = Usage::of(&fleet).await?;
+  let before_idle = Usage::read(&fleet).await?;
   monoio::time::sleep(IDLE_PERIOD).await;
-  let before = Usage::of(&fleet).await?;
-  let rest = before.since(&before_rest);
+  let before = Usage::read(&fleet).await?;
+  let idle = before.since(&before_idle);
   let load = start_load(&fleet, get(matches, "load"));
   let (stated, answered) = make_changes(&fleet, changes).await?;
   let failed = load.map_or(Ok(0), finish_load)?;
-  let after = Usage::of(&fleet).await?;
+  let after = Usage::read(&fleet).await?;
   let changing = after.since(&before);
-  let bytes: Sample = rest.bytes.iter().copied().collect();
+  let bytes: Sample = idle.bytes.iter().copied().collect();
   let per_box = |rates: &Rates| rates.bytes.iter().sum::<f64>() / count(boxes);
   let seconds = (after.calls - before.calls) / changing.calls;
-  let per_change = |changing: f64, rest: f64| (changing - rest) * seconds / count(changes);
+  let per_change = |changing: f64, idle: f64| (changing - idle) * seconds / count(changes);
   print(&serde_json::json!({
     "measure": "convergence",
     "boxes": boxes,
@@ -57,12 +57,12 @@
     "convergence_ms_p99": stated.quantile(0.99),
     "convergence_ms_max": stated.max(),
     "after_answer_ms_p50": answered.median(),
-    "control_bytes_per_box_per_change": per_change(per_box(&changing), per_box(&rest)),
+    "control_bytes_per_box_per_change": per_change(per_box(&changing), per_box(&idle)),
     "control_bytes_per_s_at_rest": bytes.spread(),
     "store_calls": after.calls,
-    "store_calls_per_change": per_change(changing.calls, rest.calls),
-    "store_calls_per_s_at_rest": rest.calls,
-    "cpu_share_at_rest": rest.cpu_share.into_iter().collect::<Sample>().spread(),
+    "store_calls_per_change": per_change(changing.calls, idle.calls),
+    "store_calls_per_s_at_rest": idle.calls,
+    "cpu_share_at_rest": idle.cpu_share.into_iter().collect::<Sample>().spread(),
     "rss_kb": after.rss_kb.into_iter().collect::<Sample>().spread(),
   }));
   Ok(())
--- a/crates/ferryyoke-bench/src/fleet.rs
+++ b/crates/ferryyoke-bench/src/fleet.rs
@@ -38,7 +38,7 @@
   pub async fn wait_until_ready(&self) -> Result {
     let started = Instant::now();
     for one in &self.boxes {
-      while one.scrape().await.is_err() || one.state("export").await?.document.is_none() {
+      while one.scrape().await.is_err() || one.run_statements("export").await?.document.is_none() {
         self.check_wait(started, &format!("{} to be ready", one.box_id))?;
         monoio::time::sleep(Duration::from_millis(20)).await;
       }
@@ -52,12 +52,12 @@
     self.wait_until_ready().await?;
     let version = self.change(0, Self::CONFIGURATION).await?;
     self.wait_for_version(version).await?;
-    self.wait_for_live(self.boxes.len()).await?;
+    self.wait_for_live_backend_servers(self.boxes.len()).await?;
     Ok(version)
   }
 
   /// Waits until every running daemon sees exactly `live` backend servers as live.
-  pub async fn wait_for_live(&self, live: usize) -> Result {
+  pub async fn wait_for_live_backend_servers(&self, live: usize) -> Result {
     let started = Instant::now();
     for one in self.boxes.iter().filter(|one| one.daemon.is_some()) {
       while one.scrape().await.unwrap_or_default().live_endpoints() != live {
@@ -71,7 +71,7 @@
   /// Sends a statement to the box at `index` and returns the version that it created. Fails if the
   /// daemon does not report it as done.
   pub async fn change(&self, index: usize, text: &str) -> Result<Version> {
-    let answer = self.boxes[index].state(text).await?;
+    let answer = self.boxes[index].run_statements(text).await?;
     let version = answer.version.filter(|_| answer.outcome == AnswerOutcome::Done);
     version.ok_or_else(|| Error::Unexpected(format!("`{text}`: {}", answer.message)))
   }
--- a/crates/ferryyoke-bench/src/fleet_box.rs
+++ b/crates/ferryyoke-bench/src/fleet_box.rs
@@ -82,7 +82,7 @@
   }
 
   /// Sends one or more statements to the daemon's administration.
-  pub async fn state(&self, text: &str) -> Result<Answer> {
+  pub async fn run_statements(&self, text: &str) -> Result<Answer> {
     let request = StatementRequest { change_id: None, text: text.into() };
     Ok(query::state(self.administration, None, &request).await?)
   }
@@ -108,7 +108,12 @@
   }
 
   /// Sends a `POST` request with an idempotency key through the daemon.
-  pub async fn post_once(&self, path: &str, key: &str, body: &str) -> Result<(StatusCode, Bytes)> {
+  pub async fn post_with_key(
+    &self,
+    path: &str,
+    key: &str,
+    body: &str,
+  ) -> Result<(StatusCode, Bytes)> {
     let request = Request::post(path)
       .header("host", self.callers.to_string())
       .header(headers::KEY, key)
--- a/crates/ferryyoke-bench/src/fleet_builder.rs
+++ b/crates/ferryyoke-bench/src/fleet_builder.rs
@@ -92,9 +92,9 @@
   /// daemon.
   pub fn prepare(self) -> Result<Fleet> {
     let directory = tempfile::tempdir()?;
-    let store_port = HeldPort::take()?;
+    let store_port = HeldPort::reserve()?;
     let store_address = store_port.address;
-    let ports: Vec<Ports> = (0..self.boxes).map(|_| Ports::take()).collect::<Result<_>>()?;
+    let ports: Vec<Ports> = (0..self.boxes).map(|_| Ports::reserve()).collect::<Result<_>>()?;
     let peers = self.peers(&ports)?;
     let mut boxes = Vec::new();
     for (index, ports) in ports.iter().enumerate() {
@@ -208,9 +208,9 @@
   const LINKS: usize = 4;
 
   /// Reserves five ports chosen by the kernel.
-  fn take() -> Result<Self> {
-    let take = HeldPort::take;
-    Ok(Self([take()?, take()?, take()?, take()?, take()?]))
+  fn reserve() -> Result<Self> {
+    let reserve = HeldPort::reserve;
+    Ok(Self([reserve()?, reserve()?, reserve()?, reserve()?, reserve()?]))
   }
 
   fn address(&self, index: usize) -> SocketAddr {
--- a/crates/ferryyoke-bench/src/held_port.rs
+++ b/crates/ferryyoke-bench/src/held_port.rs
@@ -10,7 +10,7 @@
 
 impl HeldPort {
   /// Reserves a port by binding a socket that never listens.
-  pub fn take() -> Result<Self> {
+  pub fn reserve() -> Result<Self> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())?;
--- a/crates/ferryyoke-bench/src/lib.rs
+++ b/crates/ferryyoke-bench/src/lib.rs
@@ -36,11 +36,11 @@
 pub use self::{
   commands::execute,
   error::Error,
-  fit::Fit,
   fleet::Fleet,
   fleet_box::FleetBox,
   fleet_builder::FleetBuilder,
   held_port::HeldPort,
+  linear_fit::LinearFit,
   load::{Connection, Generator, LoadResult},
   process::Process,
   sample::Sample,
@@ -50,11 +50,11 @@
 
 mod commands;
 mod error;
-mod fit;
 mod fleet;
 mod fleet_box;
 mod fleet_builder;
 mod held_port;
+mod linear_fit;
 mod load;
 mod process;
 mod sample;
--- a/crates/ferryyoke-bench/src/fit.rs
+++ b/crates/ferryyoke-bench/src/linear_fit.rs
@@ -1,6 +1,6 @@
 /// A least-squares line through measured points.
 #[derive(Clone, Copy, Debug)]
-pub struct Fit {
+pub struct LinearFit {
   /// The value of the line at `x` = 0.
   pub intercept: f64,
   /// The largest vertical distance of a point from the line.
@@ -9,7 +9,7 @@
   pub slope: f64,
 }
 
-impl Fit {
+impl LinearFit {
   /// Fits a line to points `(x, y)`. The slope is zero unless two points differ in `x`.
   #[allow(clippy::cast_precision_loss)]
   pub fn of(points: &[(f64, f64)]) -> Self {
--- a/crates/ferryyoke-bench/src/load/generator.rs
+++ b/crates/ferryyoke-bench/src/load/generator.rs
@@ -45,7 +45,7 @@
     while due.duration_since(started) < self.duration {
       wait_until(due);
       let status = connection.get(&self.path);
-      result.note(due.elapsed(), matches!(status, Ok(200)));
+      result.record(due.elapsed(), matches!(status, Ok(200)));
       if status.is_err() {
         connection = Connection::open(address)?;
       }
--- a/crates/ferryyoke-bench/src/load/load_result.rs
+++ b/crates/ferryyoke-bench/src/load/load_result.rs
@@ -21,7 +21,7 @@
   }
 
   /// Records one request.
-  pub fn note(&mut self, latency: Duration, is_answered: bool) {
+  pub fn record(&mut self, latency: Duration, is_answered: bool) {
     if is_answered {
       let us = u64::try_from(latency.as_micros()).unwrap_or(u64::MAX);
       self.latency_us.saturating_record(us.max(1));
--- a/crates/ferryyoke-bench/src/usage.rs
+++ b/crates/ferryyoke-bench/src/usage.rs
@@ -28,7 +28,7 @@
   /// Reads the current usage of a fleet. Boxes without a running daemon have no processor time and
   /// memory values.
   #[allow(clippy::cast_precision_loss)]
-  pub async fn of(fleet: &Fleet) -> Result<Self> {
+  pub async fn read(fleet: &Fleet) -> Result<Self> {
     let mut usage = Self {
       at: Instant::now(),
       bytes: Vec::new(),
--- a/crates/ferryyoke-bench/tests/failures.rs
+++ b/crates/ferryyoke-bench/tests/failures.rs
@@ -115,7 +115,8 @@
     let faults = StoreFaults { down: true, ..StoreFaults::default() };
     fleet.set_store_faults(&faults).await?;
 
-    let answer = fleet.boxes[0].state("create route new path /new service archive").await?;
+    let answer =
+      fleet.boxes[0].run_statements("create route new path /new service archive").await?;
     assert_eq!(answer.outcome, AnswerOutcome::Refused, "{}", answer.message);
     assert!(answer.message.contains("once the store answers"), "{}", answer.message);
     for one in &fleet.boxes {
@@ -143,10 +144,11 @@
     fleet.wait_for_version(version).await?;
     fleet.restore_store().await?;
     pause_ms(1_500).await;
-    let refused = fleet.boxes[1].state("create route other path /other service archive").await?;
+    let refused =
+      fleet.boxes[1].run_statements("create route other path /other service archive").await?;
     assert_eq!(refused.outcome, AnswerOutcome::Refused);
     assert!(refused.message.contains("restore store"), "{}", refused.message);
-    let repaired = fleet.boxes[1].state("restore store").await?;
+    let repaired = fleet.boxes[1].run_statements("restore store").await?;
     assert_eq!(repaired.outcome, AnswerOutcome::Done, "{}", repaired.message);
     let next = fleet.change(2, "create route other path /other service archive").await?;
     assert_eq!(next, version.next());
--- a/crates/ferryyoke-bench/tests/operators.rs
+++ b/crates/ferryyoke-bench/tests/operators.rs
@@ -33,9 +33,9 @@
     let route = format!("own-{operator}-{change}");
     let text = format!("create route {route} path /{route} service archive");
     let one = &fleet.boxes[operator % fleet.boxes.len()];
-    results.push(ChangeResult { answer: one.state(&text).await?, route });
+    results.push(ChangeResult { answer: one.run_statements(&text).await?, route });
     let contended = format!("set route shared path /shared-{operator}-{change}");
-    let answer = one.state(&contended).await?;
+    let answer = one.run_statements(&contended).await?;
     results.push(ChangeResult { answer, route: format!("shared-{operator}-{change}") });
   }
   Ok(results)
@@ -58,10 +58,10 @@
     let last = fleet.change(1, "create route last path /last service archive").await?;
     fleet.wait_for_version(last).await?;
 
-    let history = fleet.boxes[2].state("history 200").await?;
+    let history = fleet.boxes[2].run_statements("history 200").await?;
     check_history(&history, &results);
     for one in &fleet.boxes {
-      assert_eq!(one.state("history 200").await?.table, history.table, "{}", one.box_id);
+      assert_eq!(one.run_statements("history 200").await?.table, history.table, "{}", one.box_id);
     }
     Ok(())
   });
@@ -129,12 +129,12 @@
       (large.as_str(), "at most"),
     ];
     for (text, expected) in expectations {
-      let answer = fleet.boxes[0].state(text).await?;
+      let answer = fleet.boxes[0].run_statements(text).await?;
       let shown = &text[..text.len().min(60)];
       assert_eq!(answer.outcome, AnswerOutcome::Refused, "{shown}: {}", answer.message);
       assert!(answer.message.contains(expected), "{shown}: {}", answer.message);
     }
-    let rollout = fleet.boxes[0].state("rollout").await?;
+    let rollout = fleet.boxes[0].run_statements("rollout").await?;
     assert_eq!(rollout.version, Some(version), "a refused statement created a version");
     Ok(())
   });
@@ -145,9 +145,9 @@
   run(async {
     let fleet = fleet().boxes(2).data_halls(1).start()?;
     let version = fleet.configure().await?;
-    let exported = fleet.boxes[0].state("export").await?;
+    let exported = fleet.boxes[0].run_statements("export").await?;
     let document = exported.document.expect("a document");
-    let again = fleet.boxes[1].state(&format!("apply {document}")).await?;
+    let again = fleet.boxes[1].run_statements(&format!("apply {document}")).await?;
     assert_eq!(again.message, "nothing to change");
     let dropped = fleet.change(0, "delete route intake").await?;
     fleet.wait_for_version(dropped).await?;
@@ -155,9 +155,11 @@
     fleet.wait_for_version(back).await?;
     let rolled_back = fleet.change(0, &format!("rollback to {dropped}")).await?;
     fleet.wait_for_version(rolled_back).await?;
-    let difference = fleet.boxes[1].state(&format!("difference {dropped} {rolled_back}")).await?;
+    let difference =
+      fleet.boxes[1].run_statements(&format!("difference {dropped} {rolled_back}")).await?;
     assert!(difference.table.rows.is_empty(), "{difference}");
-    let difference = fleet.boxes[1].state(&format!("difference {version} {rolled_back}")).await?;
+    let difference =
+      fleet.boxes[1].run_statements(&format!("difference {version} {rolled_back}")).await?;
     assert_eq!(difference.table.rows.len(), 1, "{difference}");
     Ok(())
   });
@@ -223,13 +225,13 @@
     let pool = std::rc::Rc::new(ferryyoke::web::Pool::new(1_000));
     let (status, _) = pool.exchange(fleet.boxes[4].callers, request, 1 << 20).await?;
     assert_eq!(status, 200);
-    let why = fleet.boxes[1].state(&format!("why request {id}")).await?;
+    let why = fleet.boxes[1].run_statements(&format!("why request {id}")).await?;
     let text = why.to_string();
     for fact in ["by route archive of version 1", "carried by", "box-004", "chosen"] {
       assert!(text.contains(fact), "`{fact}` is not in {text}");
     }
     fleet.boxes[4].kill()?;
-    let unavailable = fleet.boxes[1].state(&format!("why request {id}")).await?;
+    let unavailable = fleet.boxes[1].run_statements(&format!("why request {id}")).await?;
     assert_eq!(unavailable.outcome, AnswerOutcome::Refused);
     assert!(unavailable.message.contains("no box remembers"), "{}", unavailable.message);
     Ok(())
--- a/crates/ferryyoke-bench/tests/support/mod.rs
+++ b/crates/ferryyoke-bench/tests/support/mod.rs
@@ -21,7 +21,7 @@
 
 /// Returns a field of the `status` statement of a daemon; null if it is absent.
 pub async fn status(one: &FleetBox, field: &str) -> Result<serde_json::Value> {
-  let answer = one.state("status").await?;
+  let answer = one.run_statements("status").await?;
   let row = answer.table.rows.iter().find(|row| row[0].as_str() == Some(field));
   Ok(row.map(|row| row[1].clone()).unwrap_or_default())
 }
--- a/crates/ferryyoke-soak/src/fault_proxy.rs
+++ b/crates/ferryyoke-soak/src/fault_proxy.rs
@@ -51,7 +51,7 @@
 
   /// Starts a proxy in front of `target`.
   pub fn start(target: SocketAddr) -> Result<Self> {
-    let held_port = HeldPort::take()?;
+    let held_port = HeldPort::reserve()?;
     let address = held_port.address;
     let state = Rc::new(State::default());
     let listener = web::Listener::bind(address)?;
--- a/crates/ferryyoke-soak/src/soak_box.rs
+++ b/crates/ferryyoke-soak/src/soak_box.rs
@@ -47,7 +47,7 @@
     record: &Rc<RefCell<Record>>,
     started: Instant,
   ) -> Result<Self> {
-    let ports: Vec<HeldPort> = (0..8).map(|_| HeldPort::take()).collect::<Result<_>>()?;
+    let ports: Vec<HeldPort> = (0..8).map(|_| HeldPort::reserve()).collect::<Result<_>>()?;
     let address = |port: usize| ports[port].address;
     let service = Self::SERVICES[index % Self::SERVICES.len()];
     let (forward, links) = (FaultProxy::start(address(2))?, FaultProxy::start(address(3))?);
