--- a/crates/ferryyoke-bench/src/commands/capacity.rs
+++ b/crates/ferryyoke-bench/src/commands/capacity.rs
@@ -1,23 +1,27 @@
-//! What each role of a daemon takes at the design's size, from slopes measured at several sizes.
+//! Estimates the resource use of each daemon role at the design size, by extrapolating linear fits
+//! over several smaller fleets.
 
 use super::*;
 
-/// Boxes and data halls of the fleets that are measured.
+/// Boxes and data halls of the measured fleets.
 const FLEETS: [(usize, usize); 4] = [(12, 2), (36, 3), (72, 4), (120, 6)];
 
-/// Numbers of routes that are measured.
+/// Route counts of the measured configurations.
 const ROUTES: [usize; 3] = [100, 400, 800];
 
-/// Seconds over which each fleet is watched at rest.
-const REST: Duration = Duration::from_secs(20);
+/// How long each idle fleet is measured.
+const IDLE_PERIOD: Duration = Duration::from_secs(20);
 
-/// Changes made in each fleet.
+/// Configuration changes made in each fleet.
 const CHANGES: usize = 10;
 
-/// Boxes, links of a relay, relays and routes at the design's size.
+/// Boxes at the design size.
 const DESIGN_BOXES: f64 = 740.0;
+/// Relays at the design size.
 const DESIGN_RELAYS: f64 = 24.0;
+/// Links of one relay at the design size: its downstream links and one to each other relay.
 const DESIGN_LINKS: f64 = 31.0 + DESIGN_RELAYS - 1.0;
+/// Routes at the design size.
 const DESIGN_ROUTES: f64 = 1_000.0;
 
 pub fn arguments() -> Command {
@@ -27,7 +31,8 @@
     .arg(json())
 }
 
-/// A quantity of a role, with the points that it was measured at.
+/// One quantity of one role: the measured points, the value of the driver (the number that the
+/// quantity grows with) at the design size, and the budget.
 struct Row {
   budget: Option<f64>,
   design: f64,
@@ -47,9 +52,9 @@
   }
 
   fn print(&self) {
-    let fit = Fit::of(&self.points);
+    let fit = LinearFit::of(&self.points);
     let at_design = fit.at(self.design);
-    // Where the line meets the budget, the design stops fitting.
+    // The driver value at which the fitted line reaches the budget.
     let fits_until =
       self.budget.filter(|_| fit.slope > 0.0).map(|budget| (budget - fit.intercept) / fit.slope);
     print(&serde_json::json!({
@@ -70,7 +75,7 @@
   }
 }
 
-/// The rows that are filled from fleets at rest and under changes.
+/// The rows measured on idle fleets and during configuration changes.
 struct Rows {
   relay_bytes: Row,
   relay_cpu: Row,
@@ -144,15 +149,15 @@
   for one in &fleet.boxes {
     links.push(links_of_relay(one).await?);
   }
-  let before = Usage::of(&fleet).await?;
-  monoio::time::sleep(REST).await;
-  let after = Usage::of(&fleet).await?;
-  let rest = after.since(&before);
+  let before = Usage::read(&fleet).await?;
+  monoio::time::sleep(IDLE_PERIOD).await;
+  let after = Usage::read(&fleet).await?;
+  let idle = after.since(&before);
   let relays = count(links.iter().flatten().count());
-  rows.store_at_rest.points.push((relays, rest.calls));
+  rows.store_at_rest.points.push((relays, idle.calls));
   let mut subscribers = [Sample::default(), Sample::default(), Sample::default()];
   for (index, links) in links.iter().enumerate() {
-    let used = [rest.bytes[index], rest.cpu_share[index], after.rss_kb[index]];
+    let used = [idle.bytes[index], idle.cpu_share[index], after.rss_kb[index]];
     match links {
       Some(links) => {
         rows.relay_bytes.points.push((*links, used[0]));
@@ -171,14 +176,14 @@
   let before = fleet.store_calls().await?;
   convergence::make_changes(&fleet, CHANGES).await?;
   let calls = count_u64(fleet.store_calls().await? - before);
-  let extra = calls - rest.calls * started.elapsed().as_secs_f64();
+  let extra = calls - idle.calls * started.elapsed().as_secs_f64();
   rows.store_per_change.points.push((relays, extra / count(CHANGES)));
   Ok(())
 }
 
-/// The links of a daemon that is a relay.
+/// Returns the number of links of a relay; `None` if the daemon is not a relay.
 async fn links_of_relay(one: &FleetBox) -> Result<Option<f64>> {
-  let answer = one.state("status").await?;
+  let answer = one.run_statements("status").await?;
   let field = |name: &str| {
     let row = answer.table.rows.iter().find(|row| row[0].as_str() == Some(name));
     row.map(|row| row[1].clone()).unwrap_or_default()
@@ -190,7 +195,8 @@
   Ok(Some(links.iter().sum()))
 }
 
-/// The memory of a daemon that holds so many routes, and the size of the configuration.
+/// Returns the resident memory of a daemon with this many routes, in kilobytes, and the size of the
+/// configuration in bytes.
 async fn measure_routes(routes: usize) -> Result<(f64, f64)> {
   let fleet =
     FleetBuilder::new(executable()?).boxes(2).data_halls(1).log_level("warning").start()?;
@@ -205,8 +211,8 @@
   }
   let daemon = fleet.boxes[1].daemon.as_ref();
   let rss_kb = daemon.map_or(Ok(0), |daemon| daemon.memory_kb("VmRSS"))?;
-  let document = fleet.boxes[1].state("export").await?.document.unwrap_or_default();
-  // The stored form carries the revision of each object besides.
+  let document = fleet.boxes[1].run_statements("export").await?.document.unwrap_or_default();
+  // The stored form also holds a revision for each object, estimated at 40 bytes per route.
   let bytes = document.to_string().len() + routes * 40;
   let _ = version;
   Ok((count_u64(rss_kb), count(bytes)))
--- a/crates/ferryyoke-bench/src/commands/convergence.rs
+++ b/crates/ferryyoke-bench/src/commands/convergence.rs
@@ -1,14 +1,15 @@
-//! How long a change takes from its statement until the last box applies it, and what it costs.
+//! Measures the time from a statement until the last box applies the change, and the cost of a
+//! change.
 
 use super::*;
 
-/// Seconds over which the fleet at rest is watched.
-const REST: Duration = Duration::from_secs(10);
+/// How long the idle fleet is measured.
+const IDLE_PERIOD: Duration = Duration::from_secs(10);
 
-/// Seconds for which a fleet settles before anything is counted.
-const SETTLE: Duration = Duration::from_secs(5);
+/// Wait after the first configuration before measuring starts.
+const SETTLE_TIME: Duration = Duration::from_secs(5);
 
-/// Milliseconds between two changes.
+/// Pause after each change, in milliseconds.
 const CHANGE_PAUSE_MS: u64 = 300;
 
 pub fn arguments() -> Command {
@@ -31,20 +32,20 @@
     .profile(get_profile(matches))
     .start()?;
   fleet.configure().await?;
-  monoio::time::sleep(SETTLE).await;
-  let before_rest = Usage::of(&fleet).await?;
-  monoio::time::sleep(REST).await;
-  let before = Usage::of(&fleet).await?;
-  let rest = before.since(&before_rest);
+  monoio::time::sleep(SETTLE_TIME).await;
+  let before_idle = Usage::read(&fleet).await?;
+  monoio::time::sleep(IDLE_PERIOD).await;
+  let before = Usage::read(&fleet).await?;
+  let idle = before.since(&before_idle);
   let load = start_load(&fleet, get(matches, "load"));
   let (stated, answered) = make_changes(&fleet, changes).await?;
   let failed = load.map_or(Ok(0), finish_load)?;
-  let after = Usage::of(&fleet).await?;
+  let after = Usage::read(&fleet).await?;
   let changing = after.since(&before);
-  let bytes: Sample = rest.bytes.iter().copied().collect();
+  let bytes: Sample = idle.bytes.iter().copied().collect();
   let per_box = |rates: &Rates| rates.bytes.iter().sum::<f64>() / count(boxes);
   let seconds = (after.calls - before.calls) / changing.calls;
-  let per_change = |changing: f64, rest: f64| (changing - rest) * seconds / count(changes);
+  let per_change = |changing: f64, idle: f64| (changing - idle) * seconds / count(changes);
   print(&serde_json::json!({
     "measure": "convergence",
     "boxes": boxes,
@@ -56,21 +57,22 @@
     "convergence_ms_p99": stated.quantile(0.99),
     "convergence_ms_max": stated.max(),
     "after_answer_ms_p50": answered.median(),
-    "control_bytes_per_box_per_change": per_change(per_box(&changing), per_box(&rest)),
+    "control_bytes_per_box_per_change": per_change(per_box(&changing), per_box(&idle)),
     "control_bytes_per_s_at_rest": bytes.spread(),
     "store_calls": after.calls,
-    "store_calls_per_change": per_change(changing.calls, rest.calls),
-    "store_calls_per_s_at_rest": rest.calls,
-    "cpu_share_at_rest": rest.cpu_share.into_iter().collect::<Sample>().spread(),
+    "store_calls_per_change": per_change(changing.calls, idle.calls),
+    "store_calls_per_s_at_rest": idle.calls,
+    "cpu_share_at_rest": idle.cpu_share.into_iter().collect::<Sample>().spread(),
     "rss_kb": after.rss_kb.into_iter().collect::<Sample>().spread(),
   }));
   Ok(())
 }
 
-/// A load that runs in threads of its own.
+/// A load that runs in background threads.
 type Load = std::thread::JoinHandle<Result<LoadResult>>;
 
-/// Starts to send requests through all daemons, for as long as the changes should take.
+/// Starts a load of `per_second` requests per second through all daemons; `None` if it is zero. The
+/// load lasts about as long as the changes.
 fn start_load(fleet: &Fleet, per_second: usize) -> Option<Load> {
   const THREADS: usize = 4;
   const SECONDS: u64 = 8;
@@ -84,14 +86,14 @@
   (per_second > 0).then(|| std::thread::spawn(move || generator.run()))
 }
 
-/// Waits for the end of a load; returns how many of its requests failed.
+/// Waits until a load ends and returns the number of failed requests.
 fn finish_load(load: Load) -> Result<u64> {
-  let result = load.join().map_err(|_| Error::Unexpected("the load panicked".into()))??;
+  let result = load.join().map_err(|_| Error::Unexpected("a load thread panicked".into()))??;
   Ok(result.failed)
 }
 
-/// Makes changes one after another. Returns the milliseconds until the last box applied each, from
-/// its statement and from its answer.
+/// Makes changes one after another. Returns the milliseconds until the last box has applied each
+/// change, measured from sending the statement and from receiving its answer.
 pub async fn make_changes(fleet: &Fleet, changes: usize) -> Result<(Sample, Sample)> {
   let (mut stated, mut answered) = (Sample::default(), Sample::default());
   for index in 0..changes {
--- a/crates/ferryyoke-bench/src/lib.rs
+++ b/crates/ferryyoke-bench/src/lib.rs
@@ -1,8 +1,8 @@
-//! The load and experiment tool of ferryyoke. It is not shipped.
+//! Load generator and benchmarks for ferryyoke. Not shipped.
 //!
-//! [`Fleet`] starts a fleet of real daemon processes on loopback, with the stand-ins of the platform
-//! beside it. The commands measure such fleets, or drive the decisions directly, and print JSON
-//! lines.
+//! [`Fleet`] runs real daemon processes on loopback, together with simulated platform services (the
+//! store and the backend servers). Each command benchmarks such a fleet, or calls the decision code
+//! directly, and prints its results as JSON lines.
 
 use {
   bytes::Bytes,
@@ -36,11 +36,11 @@
 pub use self::{
   commands::execute,
   error::Error,
-  fit::Fit,
   fleet::Fleet,
   fleet_box::FleetBox,
   fleet_builder::FleetBuilder,
   held_port::HeldPort,
+  linear_fit::LinearFit,
   load::{Connection, Generator, LoadResult},
   process::Process,
   sample::Sample,
@@ -50,20 +50,20 @@
 
 mod commands;
 mod error;
-mod fit;
 mod fleet;
 mod fleet_box;
 mod fleet_builder;
 mod held_port;
+mod linear_fit;
 mod load;
 mod process;
 mod sample;
 mod scrape;
 mod usage;
 
-/// Result of a measurement.
+/// The result of a benchmark step.
 pub type Result<T = (), E = Error> = std::result::Result<T, E>;
 
-/// The word that makes this binary act as `ferryyoke`, so that it can start daemons of the very
-/// code it was built with.
+/// The first argument that makes this binary behave as `ferryyoke`, so that the daemons it starts
+/// run the code it was built with.
 pub const AS_FERRYYOKE: &str = "as-ferryyoke";
